--- a/source/sidecar/event_log.cpp
+++ b/source/sidecar/event_log.cpp
@@ -11,11 +11,12 @@
 
 namespace {
 
-/// Lines about requests a second. A line costs about 5 us, so this stays under 0.1% of a core.
+/// Limit for lines about requests. A line costs about 5 us, so logging uses less than 0.1% of a
+/// core.
 constexpr double lines_per_second = 100;
-/// Lines that may come at once after a quiet time.
+/// Largest burst of lines about requests.
 constexpr double line_burst = 300;
-/// Bytes kept while the output takes nothing.
+/// Bytes queued at most while standard output is blocked.
 constexpr std::size_t max_queue = 256UL * 1024UL;
 constexpr std::size_t max_value = 256;
 
@@ -38,7 +39,7 @@
   }
   text_ += '"';
   for (const char it : value) {
-    // What a caller sends must not forge a line or a field.
+    // Text from a caller must not be able to forge a line or a field.
     text_ += (it < ' ' || it > '~' || it == '"' || it == '\\') ? '?' : it;
   }
   text_ += '"';
@@ -100,7 +101,7 @@
     if (::poll(&output, 1, 0) <= 0 || (output.revents & POLLOUT) == 0) {
       return;
     }
-    // A pipe that polls as writable takes at least this much without blocking.
+    // A pipe that polls as writable accepts at least this many bytes without blocking.
     constexpr std::size_t step = 4'096;
     const ssize_t n = ::write(STDOUT_FILENO, queue_.data(), std::min(step, queue_.size()));
     if (n <= 0) {
--- a/source/sidecar/event_log.h
+++ b/source/sidecar/event_log.h
@@ -23,17 +23,17 @@
   std::string text_;
 };
 
-/// Queues lines and writes them when standard output takes them. Lines about requests have a
-/// bounded rate; what is dropped is counted and told in a line of its own.
+/// Queues lines and writes them when standard output is writable. Lines about requests are
+/// rate-limited; the number of dropped lines is logged in a line of its own.
 class event_log {
  public:
   event_log(event::loop& events, std::string node);
 
   /// A decision about a request.
   void request(const log_line& line);
-  /// A change of what the node believes, or of its life. Never dropped for its rate.
+  /// A change of the node's view of the fleet, or of its own life cycle. Not rate-limited.
   void state(const log_line& line);
-  /// Writes what the output takes now.
+  /// Writes as much as standard output accepts without blocking.
   void flush();
 
  private:
--- a/source/sidecar/store_client.cpp
+++ b/source/sidecar/store_client.cpp
@@ -8,11 +8,12 @@
 
 namespace {
 
-/// Answers come in 4 ms as a rule and within a second when the store is slow.
+/// The store usually answers within 4 ms, and within 1 s when it is slow.
 constexpr milliseconds call_timeout{1'500};
-/// Time beyond a watch's wait after which it counts as hung.
+/// A watch that takes longer than its wait by this much is treated as hung.
 constexpr milliseconds watch_margin{1'000};
-/// Bound of the silence on the store's connections, as small as TCP keep-alive allows.
+/// A connection is closed when the store's TCP stack has not responded for this long. TCP
+/// keep-alive allows no shorter time.
 constexpr milliseconds store_silence{2'000};
 
 } // namespace
@@ -31,7 +32,7 @@
       .on_data =
           [this] {
             if (!done_) {
-              // Nothing was asked for; what comes is not to be taken for the next answer.
+              // Unsolicited data must not be read as the answer to the next call.
               finish({}, false);
               return;
             }
--- a/source/sidecar/store_client.h
+++ b/source/sidecar/store_client.h
@@ -51,7 +51,8 @@
   event::timer_id timer_ = 0;
 };
 
-/// Waits between failed calls: doubles up to a bound, with jitter so that nodes spread.
+/// Pause before a failed call is retried: doubles up to a bound, with jitter so that the nodes do
+/// not retry at the same moment.
 class backoff {
  public:
   milliseconds next();
@@ -63,18 +64,19 @@
   milliseconds current_ = first;
 };
 
-/// Keeps a copy of all objects of one kind by a list and a watch.
+/// Keeps a copy of all objects of one kind: lists them, then watches for changes.
 class object_mirror {
  public:
   struct events {
     /// An object is new or has changed.
     std::function<void(const adapter::stored_object&)> on_object;
     std::function<void(const std::string& name)> on_removed;
-    /// A whole list was read.
+    /// All pages of a list were read.
     std::function<void()> on_listed;
   };
 
-  /// @param wait how long one watch waits at the store. A watch that hangs is found after it.
+  /// @param wait how long the store holds one watch open. A watch that hangs is detected only after
+  /// this time.
   object_mirror(event::loop& loop, const endpoint& store, std::string kind, milliseconds wait,
                 events callbacks, event_log& log, instruments& counters);
   void start() { list(""); }
