--- a/source/traffic/account_rates.cpp
+++ b/source/traffic/account_rates.cpp
@@ -11,10 +11,11 @@
 constexpr double demand_horizon_s = 1.0;
 /// Share of a node that knows neither the size of the fleet nor another node's demand.
 constexpr double unknown_fleet_share = 0.02;
-/// Below this part of the burst a node spends only its share of the refill.
+/// While the bucket holds less than this part of the burst, a node spends only its share of the
+/// refill.
 constexpr double shared_below = 0.3;
-/// Part of what is in the bucket that all nodes together may spend between two reports. Reports to
-/// other data centres may take two intervals, so half of it each.
+/// Part of the bucket's level that all nodes together may spend between two reports. Reports to
+/// other data centres may take two intervals, so each interval may spend half of the level.
 constexpr double granted_part = 0.5;
 /// Nothing is admitted while the bucket is overdrawn by more than this part of the burst. Within
 /// it, admissions that were not reported yet don't stop an account that keeps its rate.
@@ -95,10 +96,11 @@
   }
   const double elapsed = in_seconds(now - value.updated);
   value.updated = now;
-  // Nodes that were never heard may be using their part of the refill.
+  // Nodes that have not reported yet may be using their part of the refill.
   value.level += of.rate * elapsed * heard_part();
   for (auto& [node, it] : value.remote) {
-    // A node that is not heard from may go on, so its admissions are assumed until it is forgotten.
+    // A node whose reports stop may still admit requests, so admissions at its last rate are
+    // assumed until it is removed.
     const double assumed = it.rate * in_seconds(now - it.heard);
     value.level -= assumed - it.assumed;
     it.assumed = assumed;
@@ -123,8 +125,8 @@
     value.grant = plenty ? std::max(1.0, granted_part * share(value) * value.level) : 0.0;
     value.granted = true;
   }
-  // A node that reserves parts of nodes it has not heard sees too little of the refill, so that its
-  // level sinks without end.
+  // While shares are reserved for nodes that have not reported, the level counts too little of the
+  // refill and falls without bound, so it does not show an overdraft.
   const bool overdrawn =
       heard_part() >= 1 && value.level < -std::max(min_overdraft, burst * max_overdraft);
   if (value.share_level >= 1 && !overdrawn) {
@@ -157,8 +159,8 @@
   if (scope == usage_scope::whole) {
     whole_reports_[node] = incarnation;
   } else if (!complete && whole != whole_reports_.end()) {
-    // A relay may still pass on what an earlier start told, and counting it would take the whole
-    // use of that start from the bucket again.
+    // A relay may still forward a report of an earlier incarnation. Counting it would subtract all
+    // admissions of that incarnation from the bucket again.
     return;
   }
   for (const auto& it : usage) {
@@ -166,7 +168,7 @@
     auto [found, added] = value.remote.try_emplace(node);
     remote_usage& remote = found->second;
     if (!added && remote.incarnation == incarnation && it.admitted < remote.admitted) {
-      // An older report on a slower way.
+      // A report that was overtaken by a newer one.
       continue;
     }
     if (!added && remote.incarnation == incarnation) {
