--- a/source/traffic/entry_admission.cpp
+++ b/source/traffic/entry_admission.cpp
@@ -12,9 +12,10 @@
 constexpr double rate_smoothing = 0.4;
 /// Mean ratios below this are taken as chance.
 constexpr double min_ratio = 0.2;
-/// Requests of a class that may be admitted ahead because they came back after a refusal.
+/// Requests of a class that may be admitted ahead of the planned fraction because they were
+/// refused before.
 constexpr double max_advance = 20;
-/// Rates below this are dropped, so that classes that are gone leave the table.
+/// Rates below this (requests per second) are removed, so that unused classes leave the table.
 constexpr double min_rate = 0.01;
 
 /// Mean cost of each route over the reports of all nodes.
@@ -59,8 +60,8 @@
   explicit graph(const load_picture& picture)
       : costs(merge_costs(picture.costs)), calls(merge_calls(picture.calls)) {}
 
-  /// Each route is worked out once; a call back to a route that is being worked out is left out,
-  /// so that a cycle among learned calls ends.
+  /// Computes each route once. A call back to a route that is still being computed is ignored, so
+  /// that a cycle among the learned calls does not recurse forever.
   const std::map<std::string, double>& needs(const std::string& route) {
     auto [found, added] = known.try_emplace(route);
     if (!added) {
@@ -172,8 +173,8 @@
       excess = cut_classes(classes, service, next, excess, options.floor);
     }
     if (excess > 0) {
-      // Even the floors ask for more than there is; a service that is kept overloaded serves
-      // nobody.
+      // Demand at the floor fractions still exceeds the capacity. All classes are scaled down,
+      // because a service that stays overloaded answers no request in time.
       const double wanted = offered(classes, service);
       scale_classes(classes, service, slots * options.utilisation / wanted);
     }
