--- a/source/traffic/account_rates.cpp
+++ b/source/traffic/account_rates.cpp
@@ -8,22 +8,22 @@
 namespace {
 
 /// Time constant of the demand estimate, in seconds; a few intervals of the status messages.
-constexpr double demand_horizon_s = 1.0;
+constexpr double demand_time_constant_s = 1.0;
 /// Share of a node that knows neither the size of the fleet nor another node's demand.
 constexpr double unknown_fleet_share = 0.02;
 /// While the bucket holds less than this part of the burst, a node spends only its share of the
 /// refill.
-constexpr double shared_below = 0.3;
+constexpr double low_level_fraction = 0.3;
 /// Part of the bucket's level that all nodes together may spend between two reports. Reports to
 /// other data centres may take two intervals, so each interval may spend half of the level.
-constexpr double granted_part = 0.5;
+constexpr double allowance_fraction = 0.5;
 /// Nothing is admitted while the bucket is overdrawn by more than this part of the burst. Within
 /// it, admissions that were not reported yet don't stop an account that keeps its rate.
 constexpr double max_overdraft = 0.25;
 /// Smallest overdraft, in requests, for accounts with small bursts.
 constexpr double min_overdraft = 2;
 /// Part of the refill that is spent while the bucket is overdrawn, so that it recovers.
-constexpr double overdrawn_refill = 0.7;
+constexpr double overdrawn_refill_fraction = 0.7;
 /// A share holds at least one request, or a small account could never use it.
 constexpr double min_share_burst = 1.0;
 /// Most a share can hold, in seconds of its refill; it must not become a second burst.
@@ -33,8 +33,8 @@
   return std::chrono::duration<double>(value).count();
 }
 
-/// @return an even spread of [0, 1) over all values.
-double fraction_of(std::uint64_t value) {
+/// @return a hash of the value, evenly distributed over [0, 1).
+double hash_fraction(std::uint64_t value) {
   // Fibonacci hashing: neighbouring seeds lie far apart.
   constexpr std::uint64_t multiplier = 0x9E37'79B9'7F4A'7C15;
   return static_cast<double>((value * multiplier) >> 11U) * 0x1.0p-53;
@@ -47,18 +47,18 @@
   if (elapsed < 0.05) {
     return;
   }
-  const double weight = 1 - std::exp(-elapsed / demand_horizon_s);
-  value.demand += (value.asked_since / elapsed - value.demand) * weight;
-  value.asked_since = 0;
+  const double weight = 1 - std::exp(-elapsed / demand_time_constant_s);
+  value.demand += (value.requests_since_update / elapsed - value.demand) * weight;
+  value.requests_since_update = 0;
   value.demand_updated = now;
 }
 
-double account_rates::heard_part() const {
+double account_rates::reporting_fraction() const {
   if (fleet_size_ == 0) {
     return unknown_fleet_share;
   }
-  const double heard = 1 + static_cast<double>(heard_nodes_.size());
-  return std::min(1.0, heard / static_cast<double>(fleet_size_));
+  const double reporting = 1 + static_cast<double>(reporting_nodes_.size());
+  return std::min(1.0, reporting / static_cast<double>(fleet_size_));
 }
 
 double account_rates::share(const bucket& value) const {
@@ -66,15 +66,16 @@
   for (const auto& [node, it] : value.remote) {
     others += it.demand;
   }
-  const double known = std::min(value.demand, value.shared_demand);
+  const double known = std::min(value.demand, value.delivered_demand);
   const double total = known + others;
   const double even =
       fleet_size_ == 0 ? unknown_fleet_share : 1.0 / static_cast<double>(fleet_size_);
   const double own = total <= 0 ? even : known / total;
-  return std::max(even, own * heard_part());
+  return std::max(even, own * reporting_fraction());
 }
 
-account_rates::bucket& account_rates::find_bucket(time_point now, const std::string& account) {
+account_rates::bucket& account_rates::find_or_create_bucket(time_point now,
+                                                            const std::string& account) {
   if (!started_) {
     started_ = now;
   }
@@ -82,32 +83,33 @@
   if (added) {
     found->second.updated = *started_;
     found->second.demand_updated = now;
-    found->second.share_level = fraction_of(hash64(account) ^ seed_);
+    found->second.share_level = hash_fraction(hash64(account) ^ seed_);
   }
   return found->second;
 }
 
 account_rates::bucket& account_rates::advance(time_point now, const account& of) {
   const double burst = std::max(1.0, of.burst);
-  bucket& value = find_bucket(now, of.name);
-  if (!value.opened) {
-    value.opened = true;
+  bucket& value = find_or_create_bucket(now, of.name);
+  if (!value.initialised) {
+    value.initialised = true;
     value.level += start_full_ ? burst : 0;
   }
   const double elapsed = in_seconds(now - value.updated);
   value.updated = now;
   // Nodes that have not reported yet may be using their part of the refill.
-  value.level += of.rate * elapsed * heard_part();
+  value.level += of.rate * elapsed * reporting_fraction();
   for (auto& [node, it] : value.remote) {
     // A node whose reports stop may still admit requests, so admissions at its last rate are
     // assumed until it is removed.
-    const double assumed = it.rate * in_seconds(now - it.heard);
-    value.level -= assumed - it.assumed;
-    it.assumed = assumed;
+    const double assumed_admissions = it.rate * in_seconds(now - it.last_report);
+    value.level -= assumed_admissions - it.assumed_admissions;
+    it.assumed_admissions = assumed_admissions;
   }
   value.level = std::min(value.level, burst);
   advance_demand(now, value);
-  const double refill = of.rate * share(value) * (value.level < 0 ? overdrawn_refill : 1.0);
+  const double refill =
+      of.rate * share(value) * (value.level < 0 ? overdrawn_refill_fraction : 1.0);
   value.share_level = std::min(value.share_level + refill * elapsed,
                                std::max(min_share_burst, refill * share_burst_s));
   return value;
@@ -118,22 +120,23 @@
     return std::nullopt;
   }
   bucket& value = advance(now, of);
-  value.asked_since += 1;
+  value.requests_since_update += 1;
   const double burst = std::max(1.0, of.burst);
-  const bool plenty = value.level >= std::max(1.0, burst * shared_below);
-  if (!value.granted) {
-    value.grant = plenty ? std::max(1.0, granted_part * share(value) * value.level) : 0.0;
-    value.granted = true;
+  const bool above_low_level = value.level >= std::max(1.0, burst * low_level_fraction);
+  if (!value.allowance_set) {
+    value.unreported_allowance =
+        above_low_level ? std::max(1.0, allowance_fraction * share(value) * value.level) : 0.0;
+    value.allowance_set = true;
   }
   // While shares are reserved for nodes that have not reported, the level counts too little of the
   // refill and falls without bound, so it does not show an overdraft.
   const bool overdrawn =
-      heard_part() >= 1 && value.level < -std::max(min_overdraft, burst * max_overdraft);
+      reporting_fraction() >= 1 && value.level < -std::max(min_overdraft, burst * max_overdraft);
   if (value.share_level >= 1 && !overdrawn) {
     value.share_level -= 1;
-  } else if (plenty && value.grant >= 1) {
-    value.grant -= 1;
-    report_due_ = report_due_ || value.grant < 1;
+  } else if (above_low_level && value.unreported_allowance >= 1) {
+    value.unreported_allowance -= 1;
+    report_due_ = report_due_ || value.unreported_allowance < 1;
   } else {
     const double refill = std::max(0.1, of.rate * share(value));
     return milliseconds(static_cast<std::int64_t>(1'000 * (1 - value.share_level) / refill) + 1);
@@ -153,18 +156,19 @@
 
 void account_rates::heard(time_point now, const std::string& node, std::uint64_t incarnation,
                           const std::vector<account_usage>& usage, usage_scope scope) {
-  heard_nodes_.insert(node);
-  const auto whole = whole_reports_.find(node);
-  const bool complete = whole != whole_reports_.end() && whole->second == incarnation;
+  reporting_nodes_.insert(node);
+  const auto whole = whole_report_incarnations_.find(node);
+  const bool has_whole_report =
+      whole != whole_report_incarnations_.end() && whole->second == incarnation;
   if (scope == usage_scope::whole) {
-    whole_reports_[node] = incarnation;
-  } else if (!complete && whole != whole_reports_.end()) {
+    whole_report_incarnations_[node] = incarnation;
+  } else if (!has_whole_report && whole != whole_report_incarnations_.end()) {
     // A relay may still forward a report of an earlier incarnation. Counting it would subtract all
     // admissions of that incarnation from the bucket again.
     return;
   }
   for (const auto& it : usage) {
-    bucket& value = find_bucket(now, it.account);
+    bucket& value = find_or_create_bucket(now, it.account);
     auto [found, added] = value.remote.try_emplace(node);
     remote_usage& remote = found->second;
     if (!added && remote.incarnation == incarnation && it.admitted < remote.admitted) {
@@ -174,50 +178,51 @@
     if (!added && remote.incarnation == incarnation) {
       const double admitted =
           static_cast<double>(it.admitted) - static_cast<double>(remote.admitted);
-      const double elapsed = std::max(0.05, in_seconds(now - remote.heard));
-      value.level -= admitted - remote.assumed;
+      const double elapsed = std::max(0.05, in_seconds(now - remote.last_report));
+      value.level -= admitted - remote.assumed_admissions;
       // One interval holds few admissions of one node, so that its rate alone is mostly noise.
-      const double weight = 1 - std::exp(-elapsed / demand_horizon_s);
+      const double weight = 1 - std::exp(-elapsed / demand_time_constant_s);
       remote.rate += (std::max(0.0, admitted / elapsed) - remote.rate) * weight;
     } else {
       // Without an earlier report the count may go back to before this node's start.
-      value.level -= added && !complete ? 0.0 : static_cast<double>(it.admitted);
+      value.level -= added && !has_whole_report ? 0.0 : static_cast<double>(it.admitted);
       remote.rate = 0;
     }
     remote.incarnation = incarnation;
     remote.admitted = it.admitted;
     remote.demand = it.demand;
-    remote.heard = now;
-    remote.assumed = 0;
+    remote.last_report = now;
+    remote.assumed_admissions = 0;
   }
 }
 
 void account_rates::forget_node(const std::string& node) {
-  heard_nodes_.erase(node);
-  whole_reports_.erase(node);
+  reporting_nodes_.erase(node);
+  whole_report_incarnations_.erase(node);
   for (auto& [name, it] : buckets_) {
     it.remote.erase(node);
   }
 }
 
 std::vector<account_usage> account_rates::changed(time_point now) {
-  constexpr double same_demand = 0.05;
+  constexpr double min_demand_change = 0.05;
   std::vector<account_usage> result;
   report_due_ = false;
   if (!started_) {
     started_ = now;
   }
   for (auto& [name, it] : buckets_) {
-    it.granted = false;
+    it.allowance_set = false;
     advance_demand(now, it);
     if (now - it.demand_shifted >= report_interval) {
-      it.shared_demand = it.told_before;
-      it.told_before = it.told_demand;
+      it.delivered_demand = it.previous_reported_demand;
+      it.previous_reported_demand = it.reported_demand;
       it.demand_shifted = now;
     }
-    if (it.admitted != it.told || std::abs(it.demand - it.told_demand) > same_demand) {
-      it.told = it.admitted;
-      it.told_demand = it.demand;
+    if (it.admitted != it.reported_admitted ||
+        std::abs(it.demand - it.reported_demand) > min_demand_change) {
+      it.reported_admitted = it.admitted;
+      it.reported_demand = it.demand;
       result.push_back({name, it.admitted, it.demand});
     }
   }
@@ -227,7 +232,7 @@
 std::vector<account_usage> account_rates::whole() const {
   std::vector<account_usage> result;
   for (const auto& [name, it] : buckets_) {
-    result.push_back({name, it.admitted, it.told_demand});
+    result.push_back({name, it.admitted, it.reported_demand});
   }
   return result;
 }
--- a/source/traffic/entry_admission.cpp
+++ b/source/traffic/entry_admission.cpp
@@ -10,11 +10,11 @@
 
 /// Weight of the newest interval in a class's rate.
 constexpr double rate_smoothing = 0.4;
-/// Mean ratios below this are taken as chance.
+/// Mean ratios below this are treated as noise.
 constexpr double min_ratio = 0.2;
 /// Requests of a class that may be admitted ahead of the planned fraction because they were
 /// refused before.
-constexpr double max_advance = 20;
+constexpr double max_credit_debt = 20;
 /// Rates below this (requests per second) are removed, so that unused classes leave the table.
 constexpr double min_rate = 0.01;
 
@@ -53,17 +53,17 @@
   return result;
 }
 
-struct graph {
+struct call_graph {
   std::map<std::string, route_cost> costs;
   std::map<std::string, std::map<std::string, double>> calls;
 
-  explicit graph(const load_picture& picture)
+  explicit call_graph(const load_picture& picture)
       : costs(merge_costs(picture.costs)), calls(merge_calls(picture.calls)) {}
 
   /// Computes each route once. A call back to a route that is still being computed is ignored, so
   /// that a cycle among the learned calls does not recurse forever.
-  const std::map<std::string, double>& needs(const std::string& route) {
-    auto [found, added] = known.try_emplace(route);
+  const std::map<std::string, double>& slot_cost(const std::string& route) {
+    auto [found, added] = cost_cache.try_emplace(route);
     if (!added) {
       return found->second;
     }
@@ -71,30 +71,30 @@
     if (const auto cost = costs.find(route); cost != costs.end()) {
       result[cost->second.service] += cost->second.slot_seconds;
     }
-    if (const auto below = calls.find(route); below != calls.end()) {
-      for (const auto& [child, n] : below->second) {
-        for (const auto& [service, slot_seconds] : needs(child)) {
+    if (const auto callees = calls.find(route); callees != calls.end()) {
+      for (const auto& [child, n] : callees->second) {
+        for (const auto& [service, slot_seconds] : slot_cost(child)) {
           result[service] += n * slot_seconds;
         }
       }
     }
-    return known[route] = std::move(result);
+    return cost_cache[route] = std::move(result);
   }
 
-  std::map<std::string, std::map<std::string, double>> known;
+  std::map<std::string, std::map<std::string, double>> cost_cache;
 };
 
 struct planned_class {
   const class_demand* demand = nullptr;
-  std::map<std::string, double> needs;
+  std::map<std::string, double> slot_cost;
   double fraction = 1;
 };
 
-double offered(const std::vector<planned_class>& classes, const std::string& service) {
+double offered_slots(const std::vector<planned_class>& classes, const std::string& service) {
   double total = 0;
   for (const auto& it : classes) {
-    const auto found = it.needs.find(service);
-    total += found == it.needs.end() ? 0.0 : found->second * it.demand->rate * it.fraction;
+    const auto found = it.slot_cost.find(service);
+    total += found == it.slot_cost.end() ? 0.0 : found->second * it.demand->rate * it.fraction;
   }
   return total;
 }
@@ -110,29 +110,29 @@
 /// @return what remains of the excess.
 double cut_classes(std::vector<planned_class>& classes, const std::string& service,
                    const urgency& of, double excess, double floor) {
-  double possible = 0;
+  double reducible_slots = 0;
   for (const auto& it : classes) {
-    const auto found = it.needs.find(service);
-    if (urgency_of(it.demand->kind) == of && found != it.needs.end()) {
-      possible += found->second * it.demand->rate * std::max(0.0, it.fraction - floor);
+    const auto found = it.slot_cost.find(service);
+    if (urgency_of(it.demand->kind) == of && found != it.slot_cost.end()) {
+      reducible_slots += found->second * it.demand->rate * std::max(0.0, it.fraction - floor);
     }
   }
-  if (possible <= 0) {
+  if (reducible_slots <= 0) {
     return excess;
   }
-  const double part = std::min(1.0, excess / possible);
+  const double part = std::min(1.0, excess / reducible_slots);
   for (auto& it : classes) {
-    if (urgency_of(it.demand->kind) == of && it.needs.count(service) != 0) {
+    if (urgency_of(it.demand->kind) == of && it.slot_cost.count(service) != 0) {
       it.fraction -= std::max(0.0, it.fraction - floor) * part;
     }
   }
-  return excess - possible * part;
+  return excess - reducible_slots * part;
 }
 
 /// Multiplies the fractions of all classes that need the service.
 void scale_classes(std::vector<planned_class>& classes, const std::string& service, double factor) {
   for (auto& it : classes) {
-    if (it.needs.count(service) != 0) {
+    if (it.slot_cost.count(service) != 0) {
       it.fraction *= factor;
     }
   }
@@ -140,10 +140,10 @@
 
 } // namespace
 
-std::map<std::string, double> needs_of(const load_picture& picture, const std::string& route,
-                                       const std::string& service) {
-  graph calls(picture);
-  std::map<std::string, double> result = calls.needs(route);
+std::map<std::string, double> slot_cost_of(const load_picture& picture, const std::string& route,
+                                           const std::string& service) {
+  call_graph calls(picture);
+  std::map<std::string, double> result = calls.slot_cost(route);
   // A request of a route that is moved to another service is expected to cost the same there.
   if (const auto cost = calls.costs.find(route);
       cost != calls.costs.end() && cost->second.service != service) {
@@ -154,18 +154,18 @@
 }
 
 admission_plan plan_admission(const load_picture& picture, const admission_options& options) {
-  graph calls(picture);
+  call_graph calls(picture);
   std::vector<planned_class> classes;
   std::set<urgency, std::greater<>> order;
   for (const auto& it : picture.demand) {
     planned_class planned;
     planned.demand = &it;
-    planned.needs = calls.needs(it.kind.route);
+    planned.slot_cost = calls.slot_cost(it.kind.route);
     classes.push_back(std::move(planned));
     order.insert(urgency_of(it.kind));
   }
   for (const auto& [service, slots] : picture.capacity) {
-    double excess = offered(classes, service) - slots * options.utilisation;
+    double excess = offered_slots(classes, service) - slots * options.utilisation;
     for (const auto& next : order) {
       if (excess <= 0) {
         break;
@@ -175,7 +175,7 @@
     if (excess > 0) {
       // Demand at the floor fractions still exceeds the capacity. All classes are scaled down,
       // because a service that stays overloaded answers no request in time.
-      const double wanted = offered(classes, service);
+      const double wanted = offered_slots(classes, service);
       scale_classes(classes, service, slots * options.utilisation / wanted);
     }
   }
@@ -199,7 +199,7 @@
   }
   double& credit = credit_[kind];
   credit += share;
-  if (credit < (returning ? -max_advance : 1.0)) {
+  if (credit < (returning ? -max_credit_debt : 1.0)) {
     return false;
   }
   credit -= 1;
--- a/source/traffic/retry_budget.cpp
+++ b/source/traffic/retry_budget.cpp
@@ -9,8 +9,8 @@
   while (!value.requests.empty() && value.requests.front() < oldest) {
     value.requests.pop_front();
   }
-  while (!value.repeats.empty() && value.repeats.front() < oldest) {
-    value.repeats.pop_front();
+  while (!value.retries.empty() && value.retries.front() < oldest) {
+    value.retries.pop_front();
   }
 }
 
@@ -25,10 +25,10 @@
   prune(now, it);
   const double allowed =
       options_.ratio * static_cast<double>(it.requests.size()) + options_.reserve;
-  if (static_cast<double>(it.repeats.size()) + 1 > allowed) {
+  if (static_cast<double>(it.retries.size()) + 1 > allowed) {
     return false;
   }
-  it.repeats.push_back(now);
+  it.retries.push_back(now);
   return true;
 }
 
--- a/source/traffic/traffic.h
+++ b/source/traffic/traffic.h
@@ -1,7 +1,7 @@
 /// @file
-/// What the operator wants of traffic, and the decisions that need no input or output: route
+/// The operator's traffic configuration, and the decisions that need no input or output: route
 /// selection, account rates over the fleet, retry budgets, the learned call graph and admission at
-/// the entry. Every function takes the time; none reads a clock.
+/// the entry. Functions that depend on the time take it as an argument; none reads a clock.
 #pragma once
 
 #include <compare>
@@ -37,7 +37,7 @@
   std::string path_prefix;
   /// Requests may run more than once.
   bool idempotent = false;
-  /// Anyone may use the route; no key is asked for.
+  /// Requests need no account key.
   bool open_to_all = false;
   /// Rank of its requests; 0 is shed last.
   unsigned priority = 0;
@@ -129,23 +129,24 @@
   std::shared_ptr<configuration> result_;
 };
 
-/// Deals a route's requests to its destinations in the proportions of their weights.
+/// Distributes a route's requests over its destinations in proportion to their weights.
 class traffic_splitter {
  public:
   /// @return the service that takes the next request of the route.
   const std::string& next(const route& value);
 
  private:
-  /// Credit of each destination; the one with the most is next (smooth weighted round robin).
+  /// Credit of each destination by route; the destination with the most credit is next (smooth
+  /// weighted round robin).
   std::unordered_map<std::string, std::map<std::string, double>> credits_;
 };
 
-/// What one node tells the others about an account.
+/// Use of an account at one node, as reported to the other nodes.
 struct account_usage {
   std::string account;
   /// Requests admitted since the node's start.
   std::uint64_t admitted = 0;
-  /// Requests a second asked for, admitted or not.
+  /// Requests a second that arrived, admitted or not.
   double demand = 0;
 
   bool operator==(const account_usage&) const = default;
@@ -155,19 +156,19 @@
   }
 };
 
-/// What a report of the use of accounts covers.
+/// Accounts that a usage report covers.
 enum class usage_scope : std::uint8_t {
-  /// Every account that the node has admitted requests of. Sent when a link opens.
+  /// Every account that the node has received requests or reports for. Sent when a link opens.
   whole,
   /// The accounts whose use has changed.
   changes,
 };
 
-/// Holds accounts to their rates over the whole fleet without a coordinator. Each node follows one
-/// bucket for each account from its own and the reported admissions. While the bucket is full
+/// Limits accounts to their rates over the whole fleet without a coordinator. Each node models one
+/// token bucket for each account from its own and the reported admissions. While the bucket is full
 /// enough, a node may spend a part of it between two of its reports; below that it spends only its
-/// share of the refill, which is its part of the demand. Shares of nodes that are not heard from
-/// stay reserved until they are forgotten, so that both sides of a partition together keep the
+/// share of the refill, which follows its part of the demand. Shares of nodes that send no reports
+/// stay reserved until the nodes are removed, so that both sides of a partition together keep the
 /// rate.
 class account_rates {
  public:
@@ -181,27 +182,29 @@
   /// get nothing in the first second.
   account_rates(bool start_full, std::uint64_t seed) : start_full_(start_full), seed_(seed) {}
 
-  /// Counts a request of the account and decides on it.
-  /// @return nothing when admitted, otherwise the time after which one may be admitted.
+  /// Counts a request of the account and decides whether to admit it.
+  /// @return nothing when admitted, otherwise the time after which a request may be admitted.
   std::optional<milliseconds> ask(time_point now, const account& of);
-  /// Takes back an admission whose request was refused before it ran.
+  /// Reverts the admission of a request that was refused before it ran.
   void give_back(const std::string& account);
-  /// Report of another node; counts restart with its incarnation. An account that is new in a
-  /// report of changes was not used before, if a whole report of the same incarnation came earlier.
+  /// Applies a report of another node, whose counts restart with each incarnation. An account that
+  /// is new in a report of changes was not used before, if a whole report of the same incarnation
+  /// came earlier.
   void heard(time_point now, const std::string& node, std::uint64_t incarnation,
              const std::vector<account_usage>& usage, usage_scope scope);
-  /// A node is known to be gone for good; its share is free.
+  /// Removes a node that has left the fleet for good and releases its share.
   void forget_node(const std::string& node);
   /// @param nodes nodes of the fleet, this one included. An even share stays reserved for each one
-  /// that has not been heard since this node's start.
+  /// that has not reported since this node's start.
   void set_fleet_size(std::size_t nodes) { fleet_size_ = std::max<std::size_t>(1, nodes); }
-  /// @return accounts with demand since the last call, to be told to the others. Call it at
-  /// intervals of `report_interval` at most; a report must reach every node within two of them.
+  /// @return accounts whose admissions or demand changed since the last call, to be reported to the
+  /// other nodes. Call it at intervals of `report_interval` at most; a report must reach every node
+  /// within two of them.
   std::vector<account_usage> changed(time_point now);
-  /// @return the use of every account, for a node that is heard for the first time.
+  /// @return the use of every account, for the first report on a new link.
   std::vector<account_usage> whole() const;
-  /// @return true when an account has used up what it may spend before the next report, so that one
-  /// should be sent before its time.
+  /// @return true when an account has used up what it may spend before the next report, so that the
+  /// report should be sent early.
   bool report_due() const { return report_due_; }
 
  private:
@@ -210,44 +213,44 @@
     std::uint64_t admitted = 0;
     double rate = 0;
     double demand = 0;
-    time_point heard{};
+    time_point last_report{};
     /// Admissions that were assumed since the report and are corrected by the next one.
-    double assumed = 0;
+    double assumed_admissions = 0;
   };
   struct bucket {
     double level = 0;
-    /// `level` counts from the start's burst on; before the first request it holds only what the
-    /// others have admitted.
-    bool opened = false;
+    /// `level` includes the initial burst. Before the first request it only counts down by what the
+    /// other nodes have admitted.
+    bool initialised = false;
     double share_level = 0;
     time_point updated{};
     std::uint64_t admitted = 0;
-    std::uint64_t told = 0;
+    std::uint64_t reported_admitted = 0;
     double demand = 0;
-    double asked_since = 0;
+    double requests_since_update = 0;
     time_point demand_updated{};
-    double told_demand = 0;
-    /// Demand told one report interval earlier.
-    double told_before = 0;
-    /// Demand told two report intervals ago; the others have heard it.
-    double shared_demand = 0;
+    double reported_demand = 0;
+    /// Demand reported one report interval earlier.
+    double previous_reported_demand = 0;
+    /// Demand reported two report intervals ago, which the other nodes have received.
+    double delivered_demand = 0;
     time_point demand_shifted{};
-    /// Part of the bucket that may still be spent before the next report.
-    double grant = 0;
-    bool granted = false;
+    /// Requests that may still be taken from the bucket before the next report.
+    double unreported_allowance = 0;
+    bool allowance_set = false;
     std::map<std::string, remote_usage> remote;
   };
 
   /// @return the account's bucket; a new one has been filling since this node's start.
-  bucket& find_bucket(time_point now, const std::string& account);
+  bucket& find_or_create_bucket(time_point now, const std::string& account);
   bucket& advance(time_point now, const account& of);
   void advance_demand(time_point now, bucket& value) const;
-  /// @return part of the refill that this node may spend. Its demand counts once the others have
-  /// heard it; otherwise each node of a restarted fleet would take the whole rate until the first
-  /// reports arrive.
+  /// @return part of the refill that this node may spend. Its demand counts once the other nodes
+  /// have received it; otherwise each node of a restarted fleet would take the whole rate until the
+  /// first reports arrive.
   double share(const bucket& value) const;
-  /// @return part of the fleet, this node included, that has been heard.
-  double heard_part() const;
+  /// @return fraction of the fleet, this node included, that has reported.
+  double reporting_fraction() const;
 
   bool start_full_;
   std::uint64_t seed_;
@@ -255,21 +258,21 @@
   std::optional<time_point> started_;
   /// 0 before it is known.
   std::size_t fleet_size_ = 0;
-  std::set<std::string> heard_nodes_;
-  /// Incarnation of each node of which a whole report was heard.
-  std::map<std::string, std::uint64_t> whole_reports_;
+  std::set<std::string> reporting_nodes_;
+  /// Incarnation of the last whole report of each node.
+  std::map<std::string, std::uint64_t> whole_report_incarnations_;
   bool report_due_ = false;
   std::unordered_map<std::string, bucket> buckets_;
 };
 
-/// Bounds the repeats that a node sends to each service by a part of the requests it sends there.
-/// Each node keeps its own part, so that no message is needed and the bound holds in partitions.
+/// Limits the retries that a node sends to each service to a fraction of its requests to it. Each
+/// node keeps its own budget, so that no message is needed and the limit holds in partitions.
 class retry_budget {
  public:
   struct options {
-    /// Repeats allowed for each request.
+    /// Retries allowed for each request.
     double ratio = 0.1;
-    /// Repeats allowed besides, in one window.
+    /// Retries allowed in one window in addition to the ratio.
     double reserve = 2;
     seconds window{10};
   };
@@ -277,14 +280,14 @@
   void set_options(options values) { options_ = values; }
 
   void requested(time_point now, const std::string& service);
-  /// Takes one repeat from the budget.
-  /// @return false when there is none; the repeat must not be sent.
+  /// Takes one retry from the budget.
+  /// @return false when the budget is used up; the retry must not be sent.
   bool take(time_point now, const std::string& service);
 
  private:
   struct history {
     std::deque<time_point> requests;
-    std::deque<time_point> repeats;
+    std::deque<time_point> retries;
   };
   void prune(time_point now, history& value) const;
 
@@ -320,11 +323,11 @@
   }
 };
 
-/// Learns from one target which calls follow from runs of which route. The calls carry no mark of
-/// the run that made them, so their number in each short interval is explained by how long runs of
-/// each route were under way in it (non-negative least squares with forgetting). A route that is
-/// under way by chance must not look like a cause, so routes without a significant part are left
-/// out.
+/// Estimates at one target how many calls runs of each route make. The calls don't identify the run
+/// that made them, so their number in each short interval is regressed on the time for which runs
+/// of each route were in progress (non-negative least squares with exponential forgetting). Routes
+/// without a significant contribution are left out, so that a route that happens to run at the same
+/// time is not taken for a cause.
 class call_observer {
  public:
   /// A run begins or ends at the target, however it ends.
@@ -339,7 +342,7 @@
   std::vector<route_cost> costs() const;
 
  private:
-  struct running {
+  struct route_activity {
     double runs = 0;
     time_point updated{};
     /// Run-seconds in this interval.
@@ -350,30 +353,30 @@
     double seconds = 0;
     double runs = 0;
   };
-  using pair = std::pair<std::string, std::string>;
+  using route_pair = std::pair<std::string, std::string>;
 
-  /// Calls a second of a run, by parent, and what they leave unexplained.
+  /// Calls a second of a run, by parent, and the squared error that remains.
   struct fit {
     std::map<std::string, double> rates;
     double error = 0;
   };
 
-  running& advance(time_point now, const std::string& route);
-  fit solve(const std::string& child, const std::vector<std::string>& parents) const;
-  /// Leaves out parents that explain no more than chance would.
-  fit explain(const std::string& child) const;
+  route_activity& advance(time_point now, const std::string& route);
+  fit fit_rates(const std::string& child, const std::vector<std::string>& parents) const;
+  /// Fits the child's calls and leaves out parents without a significant contribution.
+  fit fit_significant_parents(const std::string& child) const;
 
-  std::map<std::string, running> running_;
+  std::map<std::string, route_activity> activity_;
   std::map<std::string, double> interval_calls_;
   /// Decayed sums of products of run-seconds, and of run-seconds with calls.
-  std::map<pair, double> runs_runs_;
-  std::map<pair, double> runs_calls_;
-  std::map<std::string, double> calls_calls_;
+  std::map<route_pair, double> exposure_products_;
+  std::map<route_pair, double> exposure_call_products_;
+  std::map<std::string, double> call_squares_;
   double intervals_ = 0;
   std::map<std::string, cost_sum> costs_;
 };
 
-/// Requests of one kind as the entry sees them.
+/// Class of requests that admission at the entry treats alike.
 struct request_class {
   std::string route;
   /// Effective priority: the account's or the route's.
@@ -402,7 +405,7 @@
   }
 };
 
-/// What admission at the entry decides on; gathered from all nodes.
+/// Input of admission at the entry, collected from all nodes.
 struct load_picture {
   std::vector<class_demand> demand;
   std::vector<call_ratio> calls;
@@ -421,18 +424,19 @@
   double floor = 0.35;
 };
 
-/// @return slot-seconds that one request of the class needs at each service, with all calls below.
-std::map<std::string, double> needs_of(const load_picture& picture, const std::string& route,
-                                       const std::string& service);
-/// Cuts the least urgent classes first until no service is offered more than it can run.
+/// @return slot-seconds that one request of the route uses at each service, including all the calls
+/// that follow from it.
+std::map<std::string, double> slot_cost_of(const load_picture& picture, const std::string& route,
+                                           const std::string& service);
+/// Reduces the least urgent classes first until no service is offered more than it can run.
 admission_plan plan_admission(const load_picture& picture, const admission_options& options);
 
 /// Admits the planned fraction of each class evenly.
 class entry_admission {
  public:
   void set_plan(admission_plan plan) { plan_ = std::move(plan); }
-  /// @param returning the request was refused before and came back as it was told. It is admitted
-  /// ahead of new ones, since refusing it again wastes its wait; the fraction holds all the same.
+  /// @param returning the request was refused before and was retried as instructed. It is admitted
+  /// ahead of new ones, since refusing it again wastes its wait; the fraction still holds.
   /// @return false when the request must be refused.
   bool admit(const request_class& kind, bool returning);
   double fraction(const request_class& kind) const;
--- a/tests/traffic/traffic_test.cpp
+++ b/tests/traffic/traffic_test.cpp
@@ -18,13 +18,13 @@
   return result;
 }
 
-/// Nodes that hold one account to its rate and tell each other at the interval of the status.
+/// Nodes that limit one account to its rate and exchange reports at the status interval.
 struct rate_fleet {
   rate_fleet(std::size_t n, bool start_full) {
     for (std::size_t i = 0; i < n; ++i) {
       nodes.emplace_back(start_full, random());
       nodes.back().set_fleet_size(n);
-      cut.push_back(false);
+      partitioned.push_back(false);
     }
     connect();
   }
@@ -32,7 +32,7 @@
   /// Opens the links between all nodes.
   void connect() {
     for (std::size_t from = 0; from < nodes.size(); ++from) {
-      tell(from, nodes[from].whole(), traffic::usage_scope::whole);
+      deliver(from, nodes[from].whole(), traffic::usage_scope::whole);
     }
   }
 
@@ -49,9 +49,9 @@
           admitted.push_back(now);
         }
       }
-      if (!silent && (now - time_point{}) % milliseconds(250) < step) {
+      if (!reports_paused && (now - time_point{}) % milliseconds(250) < step) {
         exchange();
-      } else if (!silent && (now - time_point{}) % milliseconds(50) < step) {
+      } else if (!reports_paused && (now - time_point{}) % milliseconds(50) < step) {
         exchange_due();
       }
     }
@@ -61,7 +61,7 @@
       report(from);
     }
   }
-  /// Reports that are sent before their time, of the nodes that have spent what they may.
+  /// Sends early reports of the nodes that have used up their allowance.
   void exchange_due() {
     for (std::size_t from = 0; from < nodes.size(); ++from) {
       if (nodes[from].report_due()) {
@@ -70,18 +70,18 @@
     }
   }
   void report(std::size_t from) {
-    tell(from, nodes[from].changed(now), traffic::usage_scope::changes);
+    deliver(from, nodes[from].changed(now), traffic::usage_scope::changes);
   }
-  void tell(std::size_t from, const std::vector<traffic::account_usage>& usage,
-            traffic::usage_scope scope) {
+  void deliver(std::size_t from, const std::vector<traffic::account_usage>& usage,
+               traffic::usage_scope scope) {
     for (std::size_t to = 0; to < nodes.size(); ++to) {
-      if (to != from && cut[to] == cut[from]) {
+      if (to != from && partitioned[to] == partitioned[from]) {
         nodes[to].heard(now, "n" + std::to_string(from), 1, usage, scope);
       }
     }
   }
   /// @return most requests admitted in any window of five seconds.
-  std::size_t worst_window() const {
+  std::size_t max_window_admissions() const {
     std::size_t worst = 0;
     std::size_t first = 0;
     for (std::size_t last = 0; last < admitted.size(); ++last) {
@@ -95,16 +95,16 @@
 
   traffic::account account = make_account(65, 65);
   std::vector<traffic::account_rates> nodes;
-  std::vector<bool> cut;
-  /// No status is exchanged.
-  bool silent = false;
+  std::vector<bool> partitioned;
+  /// No reports are exchanged.
+  bool reports_paused = false;
   time_point now{seconds(100)};
   std::mt19937 random{7};
   std::size_t offered = 0;
   std::vector<time_point> admitted;
 };
 
-/// The users' bound for one window: rate and burst, a tenth more, and 20 requests.
+/// Most admissions allowed in a window of 5 s: rate and burst, a tenth more, and 20 requests.
 std::size_t window_bound(const traffic::account& of) {
   return static_cast<std::size_t>((of.rate * 5 + of.burst) * 1.1 + 20);
 }
@@ -115,11 +115,11 @@
   rate_fleet fleet(12, true);
   const std::vector<double> even(12, 1.0);
   fleet.offer(40, even, seconds(10));
-  const std::size_t usual = fleet.admitted.size();
-  CHECK(usual >= fleet.offered * 99 / 100);
+  const std::size_t admitted_before = fleet.admitted.size();
+  CHECK(admitted_before >= fleet.offered * 99 / 100);
   fleet.offer(300, even, seconds(15));
-  CHECK(fleet.worst_window() <= window_bound(fleet.account));
-  CHECK(fleet.admitted.size() - usual >= 65 * 15 * 9 / 10);
+  CHECK(fleet.max_window_admissions() <= window_bound(fleet.account));
+  CHECK(fleet.admitted.size() - admitted_before >= 65 * 15 * 9 / 10);
 }
 
 TEST_CASE("Demand that moves to one node is admitted there") {
@@ -138,10 +138,10 @@
   const std::vector<double> even(12, 1.0);
   fleet.offer(200, even, seconds(5));
   for (std::size_t i = 0; i < 4; ++i) {
-    fleet.cut[i] = true;
+    fleet.partitioned[i] = true;
   }
   fleet.offer(200, even, seconds(10));
-  CHECK(fleet.worst_window() <= window_bound(fleet.account));
+  CHECK(fleet.max_window_admissions() <= window_bound(fleet.account));
 }
 
 TEST_CASE("A fleet that was killed whole does not grant the burst again, nor each node the rate") {
@@ -152,16 +152,16 @@
   for (auto& it : fleet.nodes) {
     it = traffic::account_rates(false, fleet.random());
   }
-  // The nodes find each other in the store before they are connected.
-  fleet.silent = true;
+  // The nodes learn the fleet size from the store before they are connected.
+  fleet.reports_paused = true;
   fleet.offer(800, even, milliseconds(100));
   for (auto& it : fleet.nodes) {
     it.set_fleet_size(14);
   }
   fleet.offer(800, even, milliseconds(700));
-  fleet.silent = false;
+  fleet.reports_paused = false;
   fleet.offer(650, even, seconds(8));
-  CHECK(fleet.worst_window() <= window_bound(fleet.account));
+  CHECK(fleet.max_window_admissions() <= window_bound(fleet.account));
 }
 
 TEST_CASE("A sudden surge of an account does not spend its burst at every node at once") {
@@ -170,7 +170,7 @@
   fleet.account = make_account(197, 197);
   fleet.offer(120, even, seconds(4));
   fleet.offer(2'000, even, seconds(6));
-  CHECK(fleet.worst_window() <= window_bound(fleet.account));
+  CHECK(fleet.max_window_admissions() <= window_bound(fleet.account));
 }
 
 TEST_CASE("A surge of a small account over many nodes stays within its rate and burst") {
@@ -179,11 +179,11 @@
   fleet.account = make_account(6, 6);
   fleet.offer(4, even, seconds(4));
   fleet.offer(40, even, seconds(6));
-  CHECK(fleet.worst_window() <= window_bound(fleet.account));
+  CHECK(fleet.max_window_admissions() <= window_bound(fleet.account));
 }
 
 TEST_CASE(
-    "Restarted nodes that are connected don't each take the whole rate before demand is told") {
+    "Restarted nodes that are connected don't each take the whole rate before demand is reported") {
   rate_fleet fleet(14, true);
   const std::vector<double> even(14, 1.0);
   fleet.account = make_account(197, 197);
@@ -192,10 +192,10 @@
     it = traffic::account_rates(false, fleet.random());
     it.set_fleet_size(14);
   }
-  // The links open before the first request, so every node has been heard and told no demand.
+  // The links open before the first request, so every node has reported, without any demand.
   fleet.connect();
   fleet.offer(1'500, even, seconds(8));
-  CHECK(fleet.worst_window() <= window_bound(fleet.account));
+  CHECK(fleet.max_window_admissions() <= window_bound(fleet.account));
 }
 
 TEST_CASE("Restarted nodes grant small accounts their rate from the first second on") {
@@ -206,7 +206,7 @@
   CHECK(fleet.admitted.size() <= 14 + 5);
 }
 
-TEST_CASE("A late report of an earlier start of a node is not counted again") {
+TEST_CASE("A late report of an earlier incarnation of a node is not counted again") {
   traffic::account_rates rates(true, 1);
   rates.set_fleet_size(2);
   const auto account = make_account(10, 100);
@@ -225,7 +225,7 @@
   }
 }
 
-TEST_CASE("A split deals requests in the proportions of the weights at any length") {
+TEST_CASE("A split follows the weights to within one request after any number of requests") {
   traffic::route route;
   route.name = "r";
   route.destinations = {{"a", 90}, {"b", 10}};
@@ -237,7 +237,7 @@
   }
 }
 
-TEST_CASE("A part with weight 0 gets no request") {
+TEST_CASE("A destination with weight 0 gets no request") {
   traffic::route route;
   route.name = "r";
   route.destinations = {{"a", 0}, {"b", 1}};
@@ -247,7 +247,7 @@
   }
 }
 
-TEST_CASE("Repeats stay within a part of the requests of the last window") {
+TEST_CASE("Retries stay within the configured ratio of the requests of the last window") {
   traffic::retry_budget budget({0.1, 2, seconds(10)});
   time_point now{seconds(1)};
   for (int i = 0; i < 100; ++i) {
@@ -274,14 +274,14 @@
   int calls = 0;
 };
 
-/// Plays 20 s of the routes together and returns the calls attributed to each.
+/// Simulates 20 s of the routes running together and returns the calls attributed to each.
 std::map<std::string, double> attributed_calls(const std::vector<route_load>& routes,
                                                unsigned seed) {
   struct run {
     const route_load* route = nullptr;
     time_point started;
     time_point end;
-    int made = 0;
+    int calls_made = 0;
   };
   traffic::call_observer observer;
   std::mt19937 random{seed};
@@ -302,8 +302,8 @@
     std::erase_if(runs, [&](run& it) {
       const int due = static_cast<int>((it.route->calls + 0.999) *
                                        ((now - it.started) * 1.0 / (it.end - it.started)));
-      while (it.made < std::min(due, it.route->calls)) {
-        ++it.made;
+      while (it.calls_made < std::min(due, it.route->calls)) {
+        ++it.calls_made;
         observer.call_made("child");
       }
       if (now < it.end) {
@@ -345,7 +345,7 @@
 namespace {
 
 /// A chain front -> middle -> deep, where one front request makes four deep calls.
-traffic::load_picture chain_picture(double rate) {
+traffic::load_picture chain_load(double rate) {
   traffic::load_picture picture;
   picture.demand = {
       {{"read", 2}, "front", rate}, {{"write", 0}, "front", rate}, {{"plain", 2}, "side", rate}};
@@ -363,40 +363,40 @@
 
 TEST_CASE("Overload of a deep service is shed where its requests enter, least urgent first") {
   const traffic::admission_options options;
-  const auto calm = traffic::plan_admission(chain_picture(20), options);
-  CHECK(calm.at({"read", 2}) == 1);
-  const auto plan = traffic::plan_admission(chain_picture(40), options);
+  const auto low_load = traffic::plan_admission(chain_load(20), options);
+  CHECK(low_load.at({"read", 2}) == 1);
+  const auto plan = traffic::plan_admission(chain_load(40), options);
   CHECK(plan.at({"read", 2}) < 0.6);
   CHECK(plan.at({"write", 0}) == 1);
   CHECK(plan.at({"plain", 2}) == 1);
-  const auto flood = traffic::plan_admission(chain_picture(200), options);
-  CHECK(flood.at({"read", 2}) <= options.floor);
-  CHECK(flood.at({"write", 0}) >= flood.at({"read", 2}));
+  const auto high_load = traffic::plan_admission(chain_load(200), options);
+  CHECK(high_load.at({"read", 2}) <= options.floor);
+  CHECK(high_load.at({"write", 0}) >= high_load.at({"read", 2}));
 }
 
 TEST_CASE("A service is not kept overloaded by the floors of its classes") {
   const traffic::admission_options options;
-  const auto picture = chain_picture(400);
+  const auto picture = chain_load(400);
   const auto plan = traffic::plan_admission(picture, options);
   double offered = 0;
   for (const auto& it : picture.demand) {
-    auto needs = traffic::needs_of(picture, it.kind.route, it.service);
-    offered += plan.at(it.kind) * it.rate * needs["deep"];
+    auto slot_cost = traffic::slot_cost_of(picture, it.kind.route, it.service);
+    offered += plan.at(it.kind) * it.rate * slot_cost["deep"];
   }
   CHECK(offered <= picture.capacity.at("deep"));
   CHECK(plan.at({"read", 2}) > 0);
 }
 
 TEST_CASE("Among classes of one effective priority the route's priority decides") {
-  auto picture = chain_picture(40);
+  auto picture = chain_load(40);
   picture.demand = {{{"read", 1, 2}, "front", 40}, {{"write", 1, 0}, "front", 40}};
   const auto plan = traffic::plan_admission(picture, traffic::admission_options{});
   CHECK(plan.at({"read", 1, 2}) < 0.6);
   CHECK(plan.at({"write", 1, 0}) == 1);
 }
 
-TEST_CASE("A cycle among learned calls ends") {
-  auto picture = chain_picture(20);
+TEST_CASE("Admission planning terminates when the learned calls form a cycle") {
+  auto picture = chain_load(20);
   for (int i = 0; i < 8; ++i) {
     const std::string name = "x" + std::to_string(i);
     picture.calls.push_back({"deep", name, 2});
@@ -417,16 +417,16 @@
   CHECK(admission.admit({"unknown", 1}, false));
 }
 
-TEST_CASE("A request that comes back is not refused again and the fraction still holds") {
+TEST_CASE("A returning request is not refused again and the fraction still holds") {
   traffic::entry_admission admission;
   admission.set_plan({{{"r", 1}, 0.5}});
   int admitted = 0;
   int refused_again = 0;
-  int waiting = 0;
+  int refused = 0;
   for (int i = 0; i < 400; ++i) {
     if (admission.admit({"r", 1}, false)) {
       ++admitted;
-    } else if (++waiting % 3 == 0) {
+    } else if (++refused % 3 == 0) {
       const bool again = admission.admit({"r", 1}, true);
       admitted += again ? 1 : 0;
       refused_again += again ? 0 : 1;
