--- a/source/core/core.cpp
+++ b/source/core/core.cpp
@@ -12,8 +12,8 @@
 
 constexpr milliseconds boot_read_period{1'000};
 constexpr milliseconds watch_timeout{5'000};
-constexpr milliseconds failure_pause{100};
-/// Longest wait of a starting node for a version newer than the one that it has read.
+constexpr milliseconds retry_delay{100};
+/// How long a starting node waits for a version newer than the one that it has read.
 constexpr milliseconds confirm_timeout{50};
 
 endpoint peer_endpoint(const wire::member_record& record) {
@@ -72,7 +72,7 @@
   append(to, call_owner::claims, std::move(from.calls));
 }
 
-bool present(wire::member_state state) {
+bool is_present(wire::member_state state) {
   return state != wire::member_state::left && state != wire::member_state::dead;
 }
 
@@ -139,13 +139,13 @@
   carried.crash_fingerprints = facts.crash_fingerprints;
   members_.set_carried_facts(std::move(carried));
   append(out.messages, members_.tick(now));
-  if (members_.change_count() != seen_members_) {
-    seen_members_ = members_.change_count();
+  if (members_.change_count() != seen_member_changes_) {
+    seen_member_changes_ = members_.change_count();
     refresh_targets();
   }
   const auto own = election_.known(settings_.data_centre);
-  const bool reports = own && own->holder != settings_.name;
-  documents_.set_coordinator(reports ? std::optional(own->address) : std::nullopt);
+  const bool held_by_peer = own && own->holder != settings_.name;
+  documents_.set_coordinator(held_by_peer ? std::optional(own->address) : std::nullopt);
   append(out.messages, documents_.tick(now));
 }
 
@@ -196,7 +196,7 @@
 
 void control_core::tick_services(time_point now, effects& out) {
   const auto lapsed = std::erase_if(services_, [&](const auto& entry) {
-    return now - entry.second.heard_at > settings_.announce_lapse;
+    return now - entry.second.announced_at > settings_.announce_lapse;
   });
   if (lapsed > 0) {
     LOG(WARNING) << "event=announcement-lapsed node=" << settings_.name << " services=" << lapsed;
@@ -210,7 +210,7 @@
   target_peers_.clear();
   calling_nodes_ = 0;
   for (const auto& it : members_.members()) {
-    if (!present(it.state)) {
+    if (!is_present(it.state)) {
       continue;
     }
     calling_nodes_ += it.data_centre == settings_.data_centre ? 1U : 0U;
@@ -246,8 +246,8 @@
                           effects& out) {
   const auto visit = [&](const auto& message) {
     using type = std::decay_t<decltype(message)>;
-    // The part is checked at the moment of use: a process that was paused past its term must
-    // neither grant tokens nor record claims.
+    // Check the current part for every message: a process that was paused until after its term
+    // ended must neither grant tokens nor record claims.
     const auto part = election_.current_part(now);
     if constexpr (std::is_same_v<type, wire::claim_request> ||
                   std::is_same_v<type, wire::claim_finish>) {
@@ -323,24 +323,24 @@
 
 std::optional<platform::call> control_core::document_call(time_point now,
                                                           const std::string& document) {
-  document_follower& row = followers_[document];
-  if (now < row.paused_until) {
+  document_fetch_state& fetch = document_fetches_[document];
+  if (now < fetch.retry_at) {
     return std::nullopt;
   }
   const auto* current = documents_.find_in_force(document);
   const std::uint64_t known = current != nullptr ? current->version : 0;
-  const bool coordinates = election_.current_part(now) == coordination::part::coordinator;
+  const bool is_coordinator = election_.current_part(now) == coordination::part::coordinator;
   const std::string object = "config/" + document;
-  if (coordinates && known > 0) {
+  if (is_coordinator && known > 0) {
     return platform::watch{object, known, watch_timeout};
   }
-  if (row.unconfirmed) {
-    // A read may have returned an old version; a watch tells whether there is a newer one.
-    return platform::watch{object, row.unconfirmed->version, confirm_timeout};
+  if (fetch.unconfirmed) {
+    // A read may return a stale version; a watch shows whether there is a newer one.
+    return platform::watch{object, fetch.unconfirmed->version, confirm_timeout};
   }
-  // A node that has just started reads for itself, in case no peer has the document.
-  if (coordinates || (known == 0 && now >= row.next_read)) {
-    row.next_read = now + boot_read_period + milliseconds(random_() % 500);
+  // A node that has just started reads the document itself, in case no peer has it.
+  if (is_coordinator || (known == 0 && now >= fetch.next_read)) {
+    fetch.next_read = now + boot_read_period + milliseconds(random_() % 500);
     return platform::read{object};
   }
   return std::nullopt;
@@ -349,23 +349,23 @@
 effects control_core::on_document_answer(time_point now, const std::string& document,
                                          const platform::answer& result) {
   effects out;
-  document_follower& row = followers_[document];
+  document_fetch_state& fetch = document_fetches_[document];
   const auto* value = std::get_if<platform::found>(&result);
   const bool unchanged = std::holds_alternative<platform::unchanged>(result);
   if (value == nullptr && !unchanged) {
-    row.paused_until = now + failure_pause;
+    fetch.retry_at = now + retry_delay;
   }
   const bool has_version = documents_.in_force(document).has_value();
   if (value != nullptr && !has_version &&
-      (!row.unconfirmed || value->value.version > row.unconfirmed->version)) {
-    row.unconfirmed = value->value;
+      (!fetch.unconfirmed || value->value.version > fetch.unconfirmed->version)) {
+    fetch.unconfirmed = value->value;
     return out;
   }
   std::optional<platform::object> accepted;
   if (value != nullptr) {
     accepted = value->value;
-  } else if (row.unconfirmed && unchanged) {
-    accepted = std::exchange(row.unconfirmed, std::nullopt);
+  } else if (fetch.unconfirmed && unchanged) {
+    accepted = std::exchange(fetch.unconfirmed, std::nullopt);
   }
   if (accepted) {
     append(out.messages,
@@ -380,13 +380,13 @@
 
 effects control_core::announce(time_point now, const wire::service_record& service) {
   effects out;
-  local_service& row = services_[service.service + ":" + std::to_string(service.port)];
-  row.heard_at = now;
+  local_service& entry = services_[service.service + ":" + std::to_string(service.port)];
+  entry.announced_at = now;
   wire::service_record next = service;
-  // A repeated announcement of the same process does not end its drain.
-  next.draining = row.record.draining && row.record.instance == service.instance;
-  if (row.record != next) {
-    row.record = next;
+  // An upstream stays draining when the same process announces it again.
+  next.draining = entry.record.draining && entry.record.instance == service.instance;
+  if (entry.record != next) {
+    entry.record = next;
     publish_services(now, out);
   }
   return out;
@@ -423,8 +423,8 @@
 void control_core::publish_services(time_point now, effects& out) {
   std::vector<wire::service_record> records;
   records.reserve(services_.size());
-  for (const auto& [id, row] : services_) {
-    records.push_back(row.record);
+  for (const auto& [id, entry] : services_) {
+    records.push_back(entry.record);
   }
   append(out.messages, members_.update_self(now, std::move(records), own_state_));
   refresh_targets();
--- a/source/core/limits.cpp
+++ b/source/core/limits.cpp
@@ -25,13 +25,13 @@
   if (const auto* keys = documents_.find_in_force(keys_name)) {
     keys_confirmed_at_ = keys->confirmed_at;
   }
-  if (documents_.change_count() == seen_documents_) {
-    if (!holds_.empty()) {
+  if (documents_.change_count() == seen_document_changes_) {
+    if (!weight_caps_.empty()) {
       refresh_limits(now);
     }
     return;
   }
-  seen_documents_ = documents_.change_count();
+  seen_document_changes_ = documents_.change_count();
   const auto* lists = documents_.find_in_force(lists_name);
   const auto* keys = documents_.find_in_force(keys_name);
   if (lists == nullptr || keys == nullptr) {
@@ -83,9 +83,9 @@
 }
 
 bool control_core::confirmed_everywhere(const config::lists& lists, std::uint64_t version) const {
-  // Weights matter at the allocators only. Any node of a data centre may become its coordinator,
-  // so all of them must have the version. Weight 0 is the operators' statement that the data
-  // centre is gone.
+  // Only allocators use the weights, but any node of a data centre may become its coordinator, so
+  // all of its nodes must have the version. A data centre with weight 0 is not waited for:
+  // operators set it to state that the data centre is gone.
   return std::all_of(lists.data_centres.begin(), lists.data_centres.end(),
                      [&](const config::data_centre_weight& dc) {
                        const auto confirmed = lists_confirmed_.find(dc.name);
@@ -98,16 +98,16 @@
   const auto own = std::find_if(lists.data_centres.begin(), lists.data_centres.end(),
                                 [&](const auto& it) { return it.name == settings_.data_centre; });
   const double listed = own == lists.data_centres.end() ? 0.0 : own->weight;
-  // While another data centre still works under older lists, its weight there and a raised
-  // weight here could add up to more than 1.
+  // While another data centre still uses older lists, its old weight and the raised weight of
+  // this one could add up to more than 1.
   if (last_weight_ && listed > *last_weight_) {
-    holds_.push_back({version, *last_weight_});
+    weight_caps_.push_back({version, *last_weight_});
   }
   last_weight_ = listed;
-  std::erase_if(holds_,
+  std::erase_if(weight_caps_,
                 [&](const auto& it) { return confirmed_everywhere(lists, it.until_version); });
   double result = listed;
-  for (const auto& it : holds_) {
+  for (const auto& it : weight_caps_) {
     result = std::min(result, it.weight);
   }
   return result;
--- a/source/core/status.cpp
+++ b/source/core/status.cpp
@@ -14,7 +14,7 @@
 constexpr milliseconds min_write_interval{1'000};
 constexpr milliseconds check_interval{200};
 
-/// Tags of the two calls that keep an object up to date.
+/// Tags that tell the read and the write of a published object apart.
 constexpr std::uint64_t read_tag = 0;
 constexpr std::uint64_t write_tag = 1;
 
@@ -65,19 +65,19 @@
   std::set<std::string> lagging;
   for (const auto& highest : documents_.highest_heard()) {
     const auto reported = documents_.reported_versions(highest.name);
-    std::map<std::uint64_t, int> nodes_with;
+    std::map<std::uint64_t, int> nodes_by_version;
     for (const auto& it : members) {
       const auto report = reported.find(it.name);
       const std::uint64_t version = it.name == settings_.name
                                         ? version_of(own, highest.name)
                                         : std::max(report == reported.end() ? 0 : report->second,
                                                    version_of(it.documents, highest.name));
-      ++nodes_with[version];
+      ++nodes_by_version[version];
       if (version < highest.version) {
         lagging.insert(it.name);
       }
     }
-    for (const auto& [version, n] : nodes_with) {
+    for (const auto& [version, n] : nodes_by_version) {
       documents.push_back({{"name", highest.name}, {"version", version}, {"nodes", n}});
     }
   }
@@ -103,8 +103,9 @@
 
 void control_core::tick_status(time_point now, unix_milliseconds wall, effects& out) {
   if (!claiming_) {
-    // Another coordinator may write meanwhile, so the versions must be read again.
-    for (written_object* it : {&status_, &directory_}) {
+    // Another coordinator may write the objects in the meantime, so their versions must be read
+    // again before the next write.
+    for (published_object* it : {&status_, &directory_}) {
       it->version_known = false;
       it->content.clear();
     }
@@ -119,7 +120,7 @@
 }
 
 void control_core::write_if_changed(time_point now, unix_milliseconds wall, call_owner owner,
-                                    written_object& object, std::string content, effects& out) {
+                                    published_object& object, std::string content, effects& out) {
   if (object.in_flight || content == object.content ||
       (object.version_known && now - object.last_write < min_write_interval)) {
     return;
@@ -138,7 +139,7 @@
       {owner, {write_tag, platform::write{object.name, object.version, stamped.dump()}}});
 }
 
-void control_core::finish_write(written_object& object, const platform::answer& result) {
+void control_core::finish_write(published_object& object, const platform::answer& result) {
   object.in_flight = false;
   const std::string written = std::exchange(object.pending, {});
   if (const auto* value = std::get_if<platform::found>(&result)) {
@@ -148,9 +149,9 @@
   } else if (std::holds_alternative<platform::absent>(result)) {
     object.version = 0;
     object.version_known = true;
-  } else if (const auto* lost = std::get_if<platform::conflict>(&result)) {
-    object.version = lost->current.version;
-    object.version_known = lost->current.version > 0;
+  } else if (const auto* conflict = std::get_if<platform::conflict>(&result)) {
+    object.version = conflict->current.version;
+    object.version_known = conflict->current.version > 0;
   } else {
     object.version_known = false;
   }
