--- a/source/admission/keys.cpp
+++ b/source/admission/keys.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::string_view query_name = "api_key";
+constexpr std::string_view key_parameter = "api_key";
 constexpr std::size_t max_key_length = 512;
 
 refusal malformed(std::string detail) {
@@ -41,14 +41,15 @@
                                             [&](char x, char y) { return lower(x) == lower(y); });
 }
 
-/// A key is printable ASCII without spaces; the text of refusals does not repeat it.
-bool is_plausible(std::string_view key) {
+/// A key is printable ASCII without spaces. Refusal texts never repeat it.
+bool is_valid_key_text(std::string_view key) {
   return !key.empty() && key.size() <= max_key_length &&
          std::all_of(key.begin(), key.end(), [](char it) { return it > ' ' && it < 0x7F; });
 }
 
-/// Collects the keys of a request and keeps the first; false when two of them differ.
-bool collect(std::string& first, std::string_view key) {
+/// Stores the first key of a request in `first`.
+/// @return false when a later key differs from it.
+bool add_key(std::string& first, std::string_view key) {
   if (first.empty()) {
     first = key;
     return true;
@@ -71,7 +72,8 @@
 std::variant<extracted_key, refusal> extract_key(std::string_view authorization,
                                                  std::string_view api_key_header,
                                                  std::string_view target) {
-  constexpr std::string_view differing = "the request has several keys that differ; send one key";
+  constexpr std::string_view conflicting_keys =
+      "the request has several different keys; send one key";
   std::string key;
   authorization = trim(authorization);
   if (!authorization.empty()) {
@@ -81,29 +83,29 @@
       return malformed("the Authorization header is not of the form Bearer <key>");
     }
     const std::string_view value = trim(authorization.substr(space));
-    if (!is_plausible(value)) {
-      return malformed("the key in the Authorization header is empty, too long or has characters "
-                       "that no key has; send it as it was given");
+    if (!is_valid_key_text(value)) {
+      return malformed("the key in the Authorization header is empty, too long or contains "
+                       "characters that a key may not contain; send it exactly as it was issued");
     }
-    collect(key, value);
+    add_key(key, value);
   }
   api_key_header = trim(api_key_header);
   if (!api_key_header.empty()) {
-    if (!is_plausible(api_key_header)) {
-      return malformed("the key in the X-Api-Key header is too long or has characters that no key "
-                       "has; send it as it was given");
+    if (!is_valid_key_text(api_key_header)) {
+      return malformed("the key in the X-Api-Key header is too long or contains characters that a "
+                       "key may not contain; send it exactly as it was issued");
     }
-    if (!collect(key, api_key_header)) {
-      return malformed(std::string(differing));
+    if (!add_key(key, api_key_header)) {
+      return malformed(std::string(conflicting_keys));
     }
   }
   extracted_key result;
-  const std::size_t question = target.find('?');
-  result.target = target.substr(0, question);
+  const std::size_t query_start = target.find('?');
+  result.target = target.substr(0, query_start);
   char separator = '?';
   std::string_view rest =
-      question == std::string_view::npos ? std::string_view{} : target.substr(question + 1);
-  bool more = question != std::string_view::npos;
+      query_start == std::string_view::npos ? std::string_view{} : target.substr(query_start + 1);
+  bool more = query_start != std::string_view::npos;
   while (more) {
     const std::size_t end = rest.find('&');
     const std::string_view parameter = rest.substr(0, end);
@@ -111,7 +113,7 @@
     rest = more ? rest.substr(end + 1) : std::string_view{};
     const std::size_t equals = parameter.find('=');
     const auto name = percent_decode(parameter.substr(0, equals), true);
-    if (!name || *name != query_name) {
+    if (!name || *name != key_parameter) {
       if (!parameter.empty()) {
         result.target += separator;
         result.target += parameter;
@@ -121,19 +123,19 @@
     }
     const auto value = percent_decode(
         equals == std::string_view::npos ? std::string_view{} : parameter.substr(equals + 1), true);
-    if (!value || !is_plausible(*value)) {
+    if (!value || !is_valid_key_text(*value)) {
       return malformed("the api_key parameter is empty, too long or not correctly escaped; escape "
                        "it as RFC 3986 says, or send the key in the Authorization header");
     }
-    if (!collect(key, *value)) {
-      return malformed(std::string(differing));
+    if (!add_key(key, *value)) {
+      return malformed(std::string(conflicting_keys));
     }
   }
   if (!key.empty()) {
     const auto decoded = percent_decode(result.target, false);
     if (contains_key(result.target, key) || (decoded && contains_key(*decoded, key))) {
-      return malformed("the key also stands elsewhere in the request target, which the upstream "
-                       "would see; send it in the Authorization header only");
+      return malformed("the key also occurs elsewhere in the request target, which is forwarded to "
+                       "the upstream; send it in the Authorization header only");
     }
   }
   result.key = std::move(key);
--- a/source/admission/rule_book.cpp
+++ b/source/admission/rule_book.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view key_prefix = "dlk_";
 constexpr std::size_t key_id_length = 12;
-/// Bounds the work that a caller without a key can cause.
+/// Limits the hashing work that a caller without a valid key can cause.
 constexpr std::size_t max_secret_length = 256;
 
 struct key_parts {
@@ -91,31 +91,31 @@
                    "the key is not of the form dlk_<12 hexadecimal digits>_<secret>; "
                    "check that it was copied completely"};
   }
-  // A key that does not exist is compared with a digest that nothing matches, so that the time
-  // does not tell which identifiers exist.
-  static const key_row absent{{}, std::string(sizeof(digest256), '\0'), false};
+  // For an unknown identifier, the secret is compared with a digest that no secret matches, so that
+  // the response time does not reveal which identifiers exist.
+  static const key_entry absent{{}, std::string(sizeof(digest256), '\0'), false};
   const auto found = keys_.find(parts->id);
-  const key_row& row = found == keys_.end() ? absent : found->second;
-  const bool same = equal_constant_time(digest_of(parts->secret), row.digest);
-  if (!same || found == keys_.end()) {
+  const key_entry& entry = found == keys_.end() ? absent : found->second;
+  const bool digest_matches = equal_constant_time(digest_of(parts->secret), entry.digest);
+  if (!digest_matches || found == keys_.end()) {
     return refusal{refusal_reason::key_unknown,
                    outcome::not_run,
                    {},
                    "the key is not known; ask the operators for a key"};
   }
-  if (row.withdrawn) {
+  if (entry.withdrawn) {
     return refusal{refusal_reason::key_withdrawn,
                    outcome::not_run,
                    {},
                    "the key was withdrawn; ask the operators for a new one"};
   }
-  if (!accounts_.contains(row.account)) {
+  if (!accounts_.contains(entry.account)) {
     return refusal{refusal_reason::account_unknown,
                    outcome::not_run,
                    {},
                    "the key's account is not in the list of accounts; ask the operators"};
   }
-  return identity{row.account, std::string(parts->id)};
+  return identity{entry.account, std::string(parts->id)};
 }
 
 bool rule_book::key_in_force(std::string_view key_id, std::string_view account) const {
@@ -152,13 +152,13 @@
   return plan == plans_.end() ? nullptr : plan->second.plan;
 }
 
-bool rule_book::allowed(std::string_view account, const config::route& wanted) const {
+bool rule_book::allowed(std::string_view account, const config::route& route) const {
   const auto name = accounts_.find(account);
   if (name == accounts_.end()) {
     return false;
   }
   const auto plan = plans_.find(name->second);
-  return plan != plans_.end() && plan->second.routes.contains(wanted.name);
+  return plan != plans_.end() && plan->second.routes.contains(route.name);
 }
 
 bool contains_key(std::string_view bytes, std::string_view key) {
--- a/source/admission/uri.h
+++ b/source/admission/uri.h
@@ -1,5 +1,5 @@
 /// @file
-/// Escapes of URIs (RFC 3986), used inside the library only.
+/// Percent-decoding of URIs (RFC 3986); internal to the admission library.
 #pragma once
 
 #include <optional>
@@ -8,8 +8,8 @@
 
 namespace damaskledge::admission {
 
-/// @param plus_is_space true in queries of HTML forms.
-/// @return the text with its escapes replaced, or nothing when an escape is malformed.
+/// @param plus_is_space true to decode '+' as a space, as in queries of HTML forms.
+/// @return the decoded text, or nothing when an escape is malformed.
 std::optional<std::string> percent_decode(std::string_view text, bool plus_is_space);
 
 } // namespace damaskledge::admission
