--- a/source/routing/context.cpp
+++ b/source/routing/context.cpp
@@ -13,9 +13,10 @@
 
 constexpr char format_version = 1;
 constexpr std::size_t mac_length = 16;
-constexpr std::size_t max_text = 255;
-/// The cluster secret also signs the frames between nodes; the label keeps a signature of one
-/// kind from being accepted as the other.
+/// Text lengths, retries and depth are written as one byte each.
+constexpr std::size_t max_byte_value = 255;
+/// Domain separation: the cluster secret also signs the frames between nodes, and a signature of
+/// one kind must not be accepted as the other.
 constexpr std::string_view mac_label = "damaskledge-context-1";
 constexpr std::string_view alphabet =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_";
@@ -31,7 +32,7 @@
   out += text;
 }
 
-/// Reads fields in order; after the first field that is missing, `failed` stays true.
+/// Reads fields in order; after the first missing field, `complete` returns false.
 class field_reader {
  public:
   explicit field_reader(std::string_view data) : data_(data) {}
@@ -104,8 +105,8 @@
 
 std::string encode_context(const context& value, std::string_view secret) {
   if (std::max({value.account.size(), value.key_id.size(), value.vm_address.size(),
-                value.issuer.address.size()}) > max_text ||
-      value.retries > max_text || value.depth > max_text) {
+                value.issuer.address.size()}) > max_byte_value ||
+      value.retries > max_byte_value || value.depth > max_byte_value) {
     return {};
   }
   std::string fields;
@@ -137,7 +138,7 @@
   const std::string_view mac = all.substr(all.size() - mac_length);
   bool matches = false;
   for (const std::string& it : secrets) {
-    // An empty secret stands for "no rotation in progress".
+    // An empty secret means that no rotation is in progress.
     if (!it.empty() && equal_constant_time(sign(fields, it), mac)) {
       matches = true;
     }
--- a/source/routing/context_table.cpp
+++ b/source/routing/context_table.cpp
@@ -22,16 +22,16 @@
   auto found = budgets_.find(value.id);
   if (found == budgets_.end()) {
     if (budgets_.size() >= options_.max_entries) {
-      // Without an entry, the budget could be spent twice; the call may run but not be retried.
+      // Without an entry the budget could be spent twice, so the call runs without retries.
       return 0;
     }
     found =
         budgets_.emplace(value.id, budget{value.retries, value.retries, 0, now + lifetime}).first;
   }
   budget& entry = found->second;
-  const std::uint32_t given = (entry.remaining + 1) / 2;
-  entry.remaining -= given;
-  entry.granted += given;
+  const std::uint32_t grant = (entry.remaining + 1) / 2;
+  entry.remaining -= grant;
+  entry.granted += grant;
   if (entry.remaining + entry.granted > entry.initial) {
     report_violation("attempt-budget", "context=" + to_string(value.id) +
                                            " initial=" + std::to_string(entry.initial) +
@@ -39,7 +39,7 @@
                                            " granted=" + std::to_string(entry.granted));
     return 0;
   }
-  return given;
+  return grant;
 }
 
 void context_table::end_call(const id128& context_id, std::uint32_t unspent) {
--- a/source/routing/routing.h
+++ b/source/routing/routing.h
@@ -1,6 +1,6 @@
 /// @file
-/// Targets and their concurrency limits, choice of target, queues by importance, context
-/// tokens of inner calls and attempt budgets.
+/// Concurrency limits and load balancing of targets, priority queues of waiting calls, context
+/// tokens of inner calls, and retry budgets.
 #pragma once
 
 #include <array>
@@ -19,7 +19,8 @@
 
 namespace damaskledge::routing {
 
-/// How limits and retries are decided; the last two are baselines for measurements.
+/// How limits and retries are decided: `chosen` adapts the limit to latency and refusals, `fixed`
+/// uses `fixed_limit`, `none` sets no limit. The last two are baselines for measurements.
 enum class policy : std::uint8_t { chosen, fixed, none };
 
 struct settings {
@@ -27,24 +28,25 @@
   std::uint32_t cold_limit = 4;
   std::uint32_t fixed_limit = 32;
   double slot_headroom = 1.0;
-  /// A target that refused a connection is left out for this time, doubling up to the maximum.
+  /// A target that refused a connection gets no requests for this time, which doubles with each
+  /// further failure up to the maximum.
   milliseconds exclusion{250};
   milliseconds exclusion_max{8'000};
-  /// The smallest latency seen is let rise by this fraction per second, so that a lasting
-  /// change of the target's speed is learned. It rises only while the limit is not above the
-  /// even division of the slots.
-  double minimum_decay = 0.02;
-  /// A node's limit may reach this multiple of its even division of the slots while the target
-  /// shows no queueing. At 4, a quarter of the calling nodes can use a whole target; the even
-  /// division alone would leave three quarters of its slots idle then. Slow start stops at the
-  /// even division, so that all nodes together cannot flood a cold target.
+  /// The minimum latency rises by this fraction per second, so that a lasting slow-down of the
+  /// target is learned. It rises only while the limit is not above the fair share of the slots.
+  double minimum_latency_growth = 0.02;
+  /// A node's limit may reach this multiple of its fair share of the slots while the target
+  /// shows no queueing. At 4, a quarter of the calling nodes can use all slots of a target; with
+  /// the fair share as the cap, three quarters of the slots would then be idle. Slow start stops
+  /// at the fair share, so that all nodes together cannot overload a cold target.
   double borrow_factor = 4.0;
-  /// Latency alone does not lower the limit below this fraction of the even division: within it
-  /// the announced slots rule out queueing by callers, and a slow target needs its slots most.
-  /// Refusals and timeouts still do, because announced slots can be wrong.
-  double latency_floor = 0.75;
-  /// Fraction per second by which a limit above the even division falls while it is unused.
-  double unused_decay = 0.1;
+  /// Latency alone does not lower the limit below this fraction of the fair share: up to the fair
+  /// share the callers cannot exceed the announced slots, so that high latency is not caused by
+  /// queueing, and a slow target needs all of its slots. Refusals and timeouts still lower the
+  /// limit further, because the announced number of slots can be wrong.
+  double limit_floor = 0.75;
+  /// Fraction per second by which a limit above the fair share falls while it is unused.
+  double unused_limit_decay = 0.1;
 };
 
 /// A target as announced through membership.
@@ -57,16 +59,16 @@
   std::uint32_t slots = 0;
   std::uint32_t connections = 0;
   bool draining = false;
-  /// Node process incarnation; a new one makes the target cold again.
+  /// Incarnation of the node process; a new one resets the learned limit and latencies.
   std::uint64_t incarnation = 0;
 
   bool operator==(const target_record&) const = default;
 };
 
-/// How an attempt ended, as far as the limit is concerned.
+/// Outcome of an attempt, as used to update the limit.
 enum class attempt_end : std::uint8_t {
   answered,
-  /// The upstream refused it without running.
+  /// The upstream refused the request without running it.
   shed,
   connect_failed,
   broken,
@@ -74,14 +76,14 @@
   cancelled,
 };
 
-/// Target table of one node. Not thread-safe.
+/// Targets known to one node, with their concurrency limits. Not thread-safe.
 class target_table {
  public:
   /// @param seed distinct for each node and stable over its life (for example a hash of its
   /// name): it also selects the node's subset of targets.
   target_table(settings options, std::string data_centre, std::uint64_t seed);
 
-  /// Replaces the announced targets; state of targets that stay is kept.
+  /// Replaces the announced targets; targets that are still announced keep their state.
   /// @param calling_nodes nodes that may call; connections and slots are divided among them.
   void set_targets(time_point now, const std::vector<target_record>& targets,
                    std::uint32_t calling_nodes);
@@ -92,20 +94,22 @@
     /// Connections that this node may keep to the target.
     std::uint32_t connections = 1;
   };
-  /// Takes a slot at the better of two random targets with room.
+  /// Takes a slot at the better of two randomly chosen targets that have a free one. Local targets
+  /// come first.
   /// @param excluded targets already tried for this request.
   /// @return nothing when every target is at its limit, draining, excluded or unknown.
   std::optional<choice> acquire(time_point now, const std::string& service,
                                 const std::vector<std::string>& excluded);
-  /// Gives the slot back and updates the limit.
+  /// Returns the slot and updates the limit.
   /// @param latency time since the attempt was sent, also for attempts that were not answered;
   /// only the latency of answered attempts counts as service latency. A timeout below the smoothed
   /// latency does not lower the limit.
   void release(time_point now, const std::string& id, attempt_end end, duration latency);
   /// @return true when the service has at least one target that is not draining or excluded.
   bool has_target(time_point now, const std::string& service) const;
-  /// @return true when the service was ever announced or is now.
+  /// @return true when the service has been announced at least once.
   bool knows_service(const std::string& service) const;
+  /// Adjusts limits and minimum latencies to the time passed; to be called periodically.
   void tick(time_point now);
 
   struct target_state {
@@ -121,7 +125,7 @@
   std::vector<target_state> snapshot(time_point now) const;
 
  private:
-  /// Row of one target. Latencies are in seconds.
+  /// State of one target. Latencies are in seconds.
   struct target_row {
     target_record record;
     /// False for a target that left while requests were in flight.
@@ -130,20 +134,22 @@
     /// False when the target is outside this node's subset.
     bool in_subset = true;
     std::uint32_t connections = 1;
-    /// Announced slots times headroom divided by the nodes that call the target.
-    double even_division = 0;
+    /// Announced slots times headroom, divided by the number of nodes that call the target.
+    double fair_share = 0;
+    /// Upper bound of the limit.
     double cap = 0;
 
     double limit = 0;
-    /// Part of 1 added before the limit is rounded down. It is a hash of node and target: with
-    /// few slots per node, rounding down on every node would waste up to a quarter of them.
+    /// Between 0 and 1, added before the limit is rounded down. It is a hash of node and target:
+    /// with few slots per node, rounding down on every node would waste up to a quarter of them.
     double rounding = 0;
     std::uint32_t in_flight = 0;
     bool slow_start = true;
     bool must_be_cold = true;
     /// The last decreases came from timeouts and not from refusals.
     bool stalled = false;
-    /// Attempts sent before this time say nothing about the present process.
+    /// Attempts sent before this time do not change the limit: they may have reached an earlier
+    /// process.
     time_point cold_since{};
     double smoothed = 0;
     double minimum = 0;
@@ -156,7 +162,7 @@
     time_point decreased_at{};
     time_point last_used_fully{};
 
-    /// Consecutive failures; 0 for a target that is not excluded or on trial.
+    /// Consecutive failures; 0 for a target that is neither excluded nor on trial.
     std::uint32_t failures = 0;
     bool connect_failure = false;
     time_point failed_at{};
@@ -166,14 +172,14 @@
 
   void make_cold(time_point now, target_row& row) const;
   void set_shares(const std::string& service, std::uint32_t calling_nodes);
-  static std::uint32_t whole_limit(const target_row& row);
-  bool has_room(time_point now, const target_row& row) const;
+  static std::uint32_t rounded_limit(const target_row& row);
+  bool has_free_slot(time_point now, const target_row& row) const;
   bool is_excluded(time_point now, const target_row& row) const;
   void exclude(time_point now, target_row& row, bool connect_failure) const;
   void end_round(time_point now, target_row& row) const;
   void decrease(time_point now, target_row& row, time_point sent) const;
   void decay_unused(time_point now, target_row& row, double elapsed) const;
-  bool better(time_point now, const target_row& a, const target_row& b) const;
+  bool is_better(time_point now, const target_row& a, const target_row& b) const;
   void remove_departed();
   void index_services();
 
@@ -192,20 +198,22 @@
 struct queue_settings {
   std::uint32_t max_length = 256;
   milliseconds max_wait{20};
-  /// Above this shortest wait over `interval`, the queue serves the newest first.
+  /// When the age of the oldest call stayed above this for a whole `interval`, the queue serves
+  /// the newest call first.
   milliseconds target_delay{5};
   milliseconds interval{100};
 };
 
-/// Waiting calls of one node, per service, ordered by importance. Not thread-safe; the node
-/// parks the connection's thread on `ticket`.
+/// Waiting calls of one node, per service, ordered by importance. Not thread-safe. The node
+/// blocks the connection's thread until its `ticket` leaves the queue.
 class waiting_queue {
  public:
   explicit waiting_queue(queue_settings options);
 
   using ticket = std::uint64_t;
   struct push_result {
-    /// Nothing when the caller itself is dropped.
+    /// Empty when the new call is refused: its deadline has passed, or the queue is full and holds
+    /// no less important call.
     std::optional<ticket> own;
     /// A less important call that was dropped to make room.
     std::optional<ticket> dropped;
@@ -216,7 +224,7 @@
   std::optional<ticket> pop(time_point now, const std::string& service);
   /// The call that `pop` would return; it stays in the queue.
   std::optional<ticket> front(time_point now, const std::string& service);
-  /// Calls whose wait or deadline has passed; they leave the queue.
+  /// Removes and returns the calls whose maximum wait or deadline has passed.
   std::vector<ticket> expire(time_point now);
   /// @return false when the ticket is no longer queued.
   bool remove(ticket which);
@@ -234,8 +242,8 @@
     std::array<std::map<ticket, waiting_call>, 4> classes;
     std::uint32_t length = 0;
     time_point interval_start{};
-    /// Smallest age of the oldest call seen in the interval.
-    duration shortest = duration::max();
+    /// Smallest age of the oldest call that was observed in the current interval.
+    duration minimum_age = duration::max();
     bool overloaded = false;
   };
   struct location {
@@ -252,7 +260,7 @@
   std::unordered_map<ticket, location> locations_;
 };
 
-/// What a context token says of the request that it belongs to.
+/// Contents of a context token: the request that an inner call belongs to.
 struct context {
   id128 id;
   id128 request;
@@ -281,12 +289,12 @@
                                       const std::vector<std::string>& secrets);
 
 struct context_settings {
-  /// Contexts with a budget, and ended contexts, kept at most.
+  /// Maximum number of contexts with a budget, and likewise of ended contexts.
   std::size_t max_entries = 65'536;
 };
 
-/// Contexts presented to this node, what remains of their attempt budgets, and those that
-/// have ended. Not thread-safe.
+/// Retry budgets of the contexts presented to this node, and the contexts that have ended.
+/// Not thread-safe.
 class context_table {
  public:
   explicit context_table(context_settings options = {});
@@ -297,8 +305,11 @@
   /// for a context that the full table cannot take; nothing when the context has ended.
   std::optional<std::uint32_t> begin_call(time_point now, const context& value,
                                           duration lifetime = seconds{120});
-  /// An inner call ended; `unspent` goes back only when no subtree can still spend it.
+  /// Records the end of an inner call.
+  /// @param unspent retries returned to the budget; only those that no call of the subtree can
+  /// still spend.
   void end_call(const id128& context_id, std::uint32_t unspent);
+  /// Marks the context as ended for the time `keep`; `begin_call` refuses it meanwhile.
   void ended(time_point now, const id128& context_id, duration keep);
   bool has_ended(const id128& context_id) const;
   void tick(time_point now);
@@ -309,7 +320,7 @@
   struct budget {
     std::uint32_t initial = 0;
     std::uint32_t remaining = 0;
-    /// Given to inner calls and not returned.
+    /// Granted to inner calls and not returned.
     std::uint32_t granted = 0;
     time_point expires{};
   };
@@ -317,7 +328,7 @@
   context_settings options_;
   std::unordered_map<id128, budget, id128_hash> budgets_;
   std::unordered_map<id128, time_point, id128_hash> ended_;
-  /// Ended contexts in the order of arrival; the oldest gives way when the table is full.
+  /// Ended contexts in order of arrival; the oldest is evicted when the table is full.
   std::deque<id128> ended_order_;
   time_point last_sweep_{};
 };
--- a/source/routing/target_table.cpp
+++ b/source/routing/target_table.cpp
@@ -18,8 +18,8 @@
 /// step in each of them would undershoot.
 constexpr double limit_weight = 0.3;
 constexpr double decrease_factor = 0.7;
-/// Growth per round after timeouts, up to the latency floor. A stall ends at once and tells nothing
-/// about the slots, while a refusal does and is followed by additive increase.
+/// Growth factor per round after timeouts, up to the limit floor. A stall ends abruptly and says
+/// nothing about the number of slots; a refusal does, and is followed by additive increase.
 constexpr double stall_recovery = 1.5;
 constexpr std::uint32_t min_round_samples = 4;
 constexpr std::uint32_t max_round_samples = 32;
@@ -29,13 +29,13 @@
 constexpr double cap_without_slots = 1'000;
 /// Below this number of connections per node, the node uses a subset of the targets.
 constexpr double min_connections_per_node = 4;
-/// A subset has at least this many targets, so that one failure leaves another.
+/// A subset has at least this many targets, so that one remains when another fails.
 constexpr std::size_t min_subset = 2;
-/// Latencies that differ by less than this factor, or are older than `latency_validity`, do not
-/// decide between targets: else an idle target that was slow once would never be tried again.
+/// Latencies that differ by less than this factor, or are older than `latency_validity`, are not
+/// compared: an idle target that was slow once would otherwise never be tried again.
 constexpr double latency_difference = 1.2;
 constexpr seconds latency_validity{1};
-constexpr milliseconds min_round{1};
+constexpr milliseconds min_round_trip{1};
 
 double to_seconds(duration value) {
   return std::chrono::duration<double>(value).count();
@@ -45,8 +45,8 @@
   return std::chrono::duration_cast<duration>(std::chrono::duration<double>(value));
 }
 
-/// Amount added to the limit per round. A quarter of the square root keeps the queue that the
-/// sum of all nodes' increases builds up below half of the slots.
+/// Amount added to the limit per round. With a quarter of the square root, the queue that the
+/// increases of all nodes cause together stays below half of the slots.
 double additive_step(double limit) {
   return std::sqrt(limit) / 4;
 }
@@ -72,8 +72,8 @@
   row.decreased_at = now - seconds{3'600};
   row.last_used_fully = now;
   const double start = options_.cold_limit;
-  row.limit = std::max(
-      1.0, row.even_division > 0 ? std::min(start, std::max(1.0, row.even_division)) : start);
+  row.limit =
+      std::max(1.0, row.fair_share > 0 ? std::min(start, std::max(1.0, row.fair_share)) : start);
 }
 
 void target_table::set_shares(const std::string& service, std::uint32_t calling_nodes) {
@@ -85,8 +85,8 @@
       local.push_back(it);
     }
   }
-  // Rendezvous hashing: each node ranks the targets by a hash of both, so that a target that comes
-  // or goes changes few nodes' subsets.
+  // Rendezvous hashing: each node ranks the targets by a hash of node and target, so that a target
+  // that is added or removed changes the subsets of few nodes.
   double per_node = std::numeric_limits<double>::max();
   for (const row_index it : local) {
     if (rows_[it].record.connections > 0) {
@@ -109,25 +109,24 @@
     }
     callers = nodes * static_cast<double>(size) / static_cast<double>(local.size());
     if (size < local.size()) {
-      // The callers of one target are binomially distributed; two standard deviations are added
-      // so that few targets get more connections than they announced.
+      // The number of callers of one target is binomially distributed; two standard deviations
+      // are added so that few targets get more connections than they announced.
       callers = std::min(nodes, callers + 2 * std::sqrt(callers));
     }
   }
   for (const row_index it : by_service_[service]) {
     target_row& row = rows_[it];
-    const double share = row.local ? callers : nodes;
+    const double divisor = row.local ? callers : nodes;
     row.connections =
-        std::max(1U, static_cast<std::uint32_t>(std::floor(row.record.connections / share)));
+        std::max(1U, static_cast<std::uint32_t>(std::floor(row.record.connections / divisor)));
     if (row.record.slots == 0) {
-      row.even_division = 0;
+      row.fair_share = 0;
       row.cap = cap_without_slots;
     } else {
       const double slots = row.record.slots * options_.slot_headroom;
-      row.even_division = slots / share;
-      // Targets of other data centres have their own callers and lend nothing.
-      const double borrowed =
-          row.local ? row.even_division * options_.borrow_factor : row.even_division;
+      row.fair_share = slots / divisor;
+      // Targets of other data centres serve their own callers, so the fair share is not exceeded.
+      const double borrowed = row.local ? row.fair_share * options_.borrow_factor : row.fair_share;
       row.cap = std::max(1.0, std::min(slots, borrowed));
     }
     row.limit = std::clamp(row.limit, 1.0, row.cap);
@@ -183,8 +182,8 @@
 }
 
 void target_table::remove_departed() {
-  // A target that left is kept until its last request ends, so that its return within that time
-  // does not start with wrong counts.
+  // A target that left is kept until its last request ends, so that its requests in flight are
+  // still counted if it is announced again before that.
   const auto departed = [](const target_row& it) { return !it.announced && it.in_flight == 0; };
   if (std::erase_if(rows_, departed) == 0) {
     return;
@@ -196,7 +195,7 @@
   index_services();
 }
 
-std::uint32_t target_table::whole_limit(const target_row& row) {
+std::uint32_t target_table::rounded_limit(const target_row& row) {
   return std::max(1U, static_cast<std::uint32_t>(std::floor(row.limit + row.rounding)));
 }
 
@@ -204,7 +203,7 @@
   return options_.mode != policy::none && row.failures > 0 && now < row.excluded_until;
 }
 
-bool target_table::has_room(time_point now, const target_row& row) const {
+bool target_table::has_free_slot(time_point now, const target_row& row) const {
   if (!row.announced || row.record.draining || !row.in_subset) {
     return false;
   }
@@ -217,10 +216,10 @@
   if (options_.mode == policy::fixed) {
     return row.in_flight < options_.fixed_limit;
   }
-  return row.in_flight < whole_limit(row);
+  return row.in_flight < rounded_limit(row);
 }
 
-bool target_table::better(time_point now, const target_row& a, const target_row& b) const {
+bool target_table::is_better(time_point now, const target_row& a, const target_row& b) const {
   if (options_.mode != policy::chosen) {
     return a.in_flight < b.in_flight;
   }
@@ -246,7 +245,7 @@
     candidates_.clear();
     for (const row_index it : found->second) {
       const target_row& row = rows_[it];
-      if (row.local == local && has_room(now, row) &&
+      if (row.local == local && has_free_slot(now, row) &&
           std::find(excluded.begin(), excluded.end(), row.record.id) == excluded.end()) {
         candidates_.push_back(it);
       }
@@ -258,14 +257,14 @@
     std::size_t first = random_() % n;
     if (n > 1) {
       const std::size_t second = (first + 1 + random_() % (n - 1)) % n;
-      if (better(now, rows_[candidates_[second]], rows_[candidates_[first]])) {
+      if (is_better(now, rows_[candidates_[second]], rows_[candidates_[first]])) {
         first = second;
       }
     }
     target_row& row = rows_[candidates_[first]];
     ++row.in_flight;
     row.round_peak = std::max(row.round_peak, row.in_flight);
-    if (row.in_flight >= used_fraction * whole_limit(row)) {
+    if (row.in_flight >= used_fraction * rounded_limit(row)) {
       row.last_used_fully = now;
     }
     return choice{row.record.id, row.record.address, row.connections};
@@ -274,7 +273,7 @@
 }
 
 void target_table::exclude(time_point now, target_row& row, bool connect_failure) const {
-  // Attempts that were in flight when the first one failed are one failure, not several.
+  // Failures of attempts that were in flight when the first one failed are not counted again.
   if (row.failures > 0 && now < row.excluded_until) {
     return;
   }
@@ -284,8 +283,8 @@
   ++row.failures;
   row.connect_failure = connect_failure;
   row.failed_at = now;
-  // A reset of a single connection does not show that the target is gone: the next request is
-  // sent as a trial at once, and only a second failure in a row leaves the target out.
+  // The reset of a single connection does not mean that the target is gone: the next request is
+  // sent at once as a trial, and only a second failure in a row excludes the target.
   const std::uint32_t doublings =
       connect_failure ? row.failures - 1 : std::max(row.failures, 2U) - 2;
   duration pause = options_.exclusion;
@@ -299,7 +298,7 @@
 void target_table::decrease(time_point now, target_row& row, time_point sent) const {
   // At most once per round trip: the attempt must have been sent after the last decrease, and
   // fast refusals must not count several times within one service latency.
-  const duration round_trip = std::max<duration>(from_seconds(row.smoothed), min_round);
+  const duration round_trip = std::max<duration>(from_seconds(row.smoothed), min_round_trip);
   if (sent < row.decreased_at || now - row.decreased_at < round_trip) {
     return;
   }
@@ -318,21 +317,21 @@
   row.smoothed = first ? average : row.smoothed + smoothing_weight * (average - row.smoothed);
   row.minimum = first ? average : std::min(row.minimum, row.smoothed);
   row.measured_at = now;
-  const bool used = row.round_peak >= used_fraction * whole_limit(row);
+  const bool used = row.round_peak >= used_fraction * rounded_limit(row);
   const double gradient =
       std::clamp(latency_tolerance * row.minimum / std::max(row.smoothed, 1e-9), 0.5, 1.0);
   if (row.slow_start) {
     if (average > latency_tolerance * row.minimum) {
       row.slow_start = false;
     } else if (used) {
-      const double end = row.even_division > 0 ? std::max(1.0, row.even_division) : row.cap;
+      const double end = row.fair_share > 0 ? std::max(1.0, row.fair_share) : row.cap;
       if (row.limit * 2 >= end) {
         row.slow_start = false;
       }
       row.limit = std::max(row.limit, std::min(row.limit * 2, end));
     }
   } else {
-    const double floor = std::max(1.0, row.even_division * options_.latency_floor);
+    const double floor = std::max(1.0, row.fair_share * options_.limit_floor);
     if (gradient < 1 && row.limit > floor) {
       const double wanted = row.limit * gradient + additive_step(row.limit);
       row.limit += limit_weight * (wanted - row.limit);
@@ -371,7 +370,7 @@
     if (row.failures > 0 && (!row.connect_failure || sent >= row.failed_at)) {
       row.failures = 0;
       if (row.connect_failure) {
-        // The process that listens now need not be the one that was measured.
+        // The target may have restarted, so that its learned limit no longer applies.
         make_cold(now, row);
         return;
       }
@@ -390,8 +389,8 @@
     exclude(now, row, false);
     return;
   case attempt_end::timed_out:
-    // A caller may ask for a deadline below the usual latency; that says nothing of the target,
-    // and must not lower the limit for other accounts.
+    // A caller may ask for a deadline below the usual latency. Such a timeout is no sign of
+    // overload and must not lower the limit for other accounts.
     if (to_seconds(latency) >= row.smoothed) {
       row.stalled = true;
       decrease(now, row, sent);
@@ -404,7 +403,7 @@
   row.round_sum += to_seconds(latency);
   const auto wanted =
       std::clamp(static_cast<std::uint32_t>(row.limit), min_round_samples, max_round_samples);
-  const duration round_trip = std::max<duration>(from_seconds(row.smoothed), min_round);
+  const duration round_trip = std::max<duration>(from_seconds(row.smoothed), min_round_trip);
   if (row.round_samples >= wanted && now - row.round_start >= round_trip) {
     end_round(now, row);
   }
@@ -423,11 +422,10 @@
 }
 
 void target_table::decay_unused(time_point now, target_row& row, double elapsed) const {
-  // A limit learned while this node had most of the demand must not add to what other nodes
-  // have learned since.
-  if (row.even_division > 0 && row.limit > row.even_division &&
-      now - row.last_used_fully > seconds{1}) {
-    row.limit = std::max(row.even_division, row.limit * (1 - options_.unused_decay * elapsed));
+  // A high limit learned while this node had most of the demand would, together with the limits
+  // that other nodes have learned since, overload the target.
+  if (row.fair_share > 0 && row.limit > row.fair_share && now - row.last_used_fully > seconds{1}) {
+    row.limit = std::max(row.fair_share, row.limit * (1 - options_.unused_limit_decay * elapsed));
     row.limit = std::max(1.0, row.limit);
   }
 }
@@ -437,10 +435,11 @@
       last_tick_ == time_point{} ? 0 : std::clamp(to_seconds(now - last_tick_), 0.0, 1.0);
   last_tick_ = now;
   for (target_row& it : rows_) {
-    // While the limit is above the even division, higher latency may be the queue that this node
-    // and others build up; taking it for the target's own speed would let the limit creep up.
-    if (it.minimum > 0 && (it.even_division == 0 || it.limit <= it.even_division)) {
-      it.minimum = std::min(it.smoothed, it.minimum * (1 + options_.minimum_decay * elapsed));
+    // While the limit is above the fair share, higher latency may come from queueing that this
+    // node and others cause; taken as the target's own latency, it would let the limit grow.
+    if (it.minimum > 0 && (it.fair_share == 0 || it.limit <= it.fair_share)) {
+      it.minimum =
+          std::min(it.smoothed, it.minimum * (1 + options_.minimum_latency_growth * elapsed));
     }
     decay_unused(now, it, elapsed);
   }
--- a/source/routing/waiting_queue.cpp
+++ b/source/routing/waiting_queue.cpp
@@ -7,19 +7,19 @@
 waiting_queue::waiting_queue(queue_settings options) : options_(options) {}
 
 void waiting_queue::observe(time_point now, service_queue& queue) const {
-  // The age of the oldest call is observed and not the wait of the call that is served: with the
-  // newest served first, the latter is short although others wait long.
+  // Uses the age of the oldest call and not the wait of the call that is served: when the newest
+  // is served first, that wait is short although other calls wait long.
   duration age{0};
   for (const auto& it : queue.classes) {
     if (!it.empty()) {
       age = std::max(age, now - it.begin()->second.since);
     }
   }
-  queue.shortest = std::min(queue.shortest, age);
+  queue.minimum_age = std::min(queue.minimum_age, age);
   if (now - queue.interval_start >= options_.interval) {
-    queue.overloaded = queue.shortest > options_.target_delay;
+    queue.overloaded = queue.minimum_age > options_.target_delay;
     queue.interval_start = now;
-    queue.shortest = age;
+    queue.minimum_age = age;
   }
 }
 
@@ -28,7 +28,7 @@
   --queue.length;
   locations_.erase(which);
   if (queue.length == 0) {
-    queue.shortest = duration{0};
+    queue.minimum_age = duration{0};
     queue.overloaded = false;
   }
 }
@@ -41,22 +41,22 @@
   service_queue& queue = services_[service];
   if (queue.length == 0) {
     queue.interval_start = now;
-    queue.shortest = duration::max();
+    queue.minimum_age = duration::max();
   }
   const auto own_class = static_cast<std::size_t>(value);
   push_result result;
   if (queue.length >= options_.max_length) {
-    std::size_t least = queue.classes.size() - 1;
-    while (least > own_class && queue.classes.at(least).empty()) {
-      --least;
+    std::size_t lowest_class = queue.classes.size() - 1;
+    while (lowest_class > own_class && queue.classes.at(lowest_class).empty()) {
+      --lowest_class;
     }
-    if (least == own_class) {
+    if (lowest_class == own_class) {
       return {};
     }
     // The call that would be served last.
-    const auto& calls = queue.classes.at(least);
+    const auto& calls = queue.classes.at(lowest_class);
     result.dropped = queue.overloaded ? calls.begin()->first : calls.rbegin()->first;
-    erase(queue, least, *result.dropped);
+    erase(queue, lowest_class, *result.dropped);
   }
   const ticket own = ++last_ticket_;
   const time_point expires = std::min(deadline, now + options_.max_wait);
@@ -84,14 +84,14 @@
   }
   service_queue& queue = found->second;
   observe(now, queue);
-  const auto is_due = [&](const auto& call) { return call.second.expires > now; };
+  const auto not_expired = [&](const auto& call) { return call.second.expires > now; };
   for (const auto& calls : queue.classes) {
     std::optional<ticket> next;
     if (queue.overloaded) {
-      const auto call = std::find_if(calls.rbegin(), calls.rend(), is_due);
+      const auto call = std::find_if(calls.rbegin(), calls.rend(), not_expired);
       next = call == calls.rend() ? std::nullopt : std::optional(call->first);
     } else {
-      const auto call = std::find_if(calls.begin(), calls.end(), is_due);
+      const auto call = std::find_if(calls.begin(), calls.end(), not_expired);
       next = call == calls.end() ? std::nullopt : std::optional(call->first);
     }
     if (next) {
--- a/tests/routing/context_test.cpp
+++ b/tests/routing/context_test.cpp
@@ -21,7 +21,8 @@
 } // namespace
 
 TEST_CASE("a context survives encoding under either secret of a rotation") {
-  // Guards against lost fields, and against refused inner calls while the secret is changed.
+  // Guards against fields lost in encoding, and against inner calls that are refused while the
+  // secret is rotated.
   CHECK(rc::check([](std::string account, std::uint8_t retries, std::uint8_t depth,
                      std::int64_t deadline, std::uint16_t port) {
     context value = example();
@@ -43,8 +44,8 @@
   CHECK(decode_context(encode_context(largest, secret), {secret}) == largest);
 }
 
-TEST_CASE("hostile tokens are refused without an exception") {
-  // Guards against forged accounts and against a crash by a crafted header.
+TEST_CASE("forged and malformed tokens are refused without an exception") {
+  // Guards against forged accounts and against a crash caused by a crafted header.
   const std::string token = encode_context(example(), secret);
   for (std::size_t it = 0; it < token.size(); ++it) {
     for (const char replacement : {'A', '_', '=', '\0', '\xff'}) {
@@ -65,7 +66,7 @@
 }
 
 TEST_CASE("retries in a whole call tree never exceed the first budget") {
-  // Guards against retries that multiply along the chain (P1).
+  // Guards against retry amplification: retries that multiply with each level of the call tree.
   CHECK(rc::check([] {
     const auto first = *rc::gen::inRange<std::uint32_t>(0, 9);
     std::uint32_t spent = 0;
@@ -94,7 +95,7 @@
 }
 
 TEST_CASE("the deepest call of a plain chain still has a retry") {
-  // Guards against budgets that are spent by the depth of the chain alone.
+  // Guards against budgets that reach 0 through the depth of the chain alone, without a retry.
   std::uint32_t budget = 4;
   for (int depth = 0; depth < 14; ++depth) {
     context_table table;
@@ -105,8 +106,8 @@
   }
 }
 
-TEST_CASE("an ended context starts no call until its record lapses") {
-  // Guards against work for a cancelled request.
+TEST_CASE("an ended context starts no call until its record expires") {
+  // Guards against inner calls for a request that was cancelled.
   context_table table;
   const context value = example();
   CHECK(table.begin_call(start, value) == 2);
@@ -118,8 +119,8 @@
   CHECK_FALSE(table.has_ended(value.id));
 }
 
-TEST_CASE("a full table holds its bound and gives no retries away twice") {
-  // Guards against unbounded memory and against a budget that starts anew after eviction.
+TEST_CASE("a full table stays within its bound and grants no retries twice") {
+  // Guards against unbounded memory and against a budget that is granted again after eviction.
   context_table table({.max_entries = 10});
   std::uint32_t given = 0;
   for (int it = 0; it < 100; ++it) {
@@ -133,8 +134,8 @@
 }
 
 TEST_CASE("cost of encoding and decoding a context") {
-  // Guards against a token that costs a noticeable part of the added latency. The bound is loose
-  // because other work may share the machine.
+  // Guards against token handling that takes a noticeable part of the latency added to a request.
+  // The bound is loose because other work may share the machine.
   const context value = example();
   constexpr int calls = 20'000;
   std::string token;
--- a/tests/routing/limit_model_test.cpp
+++ b/tests/routing/limit_model_test.cpp
@@ -1,5 +1,6 @@
-// A deterministic queueing model: several nodes call one target that has slots and serves what
-// exceeds them first come, first served. Guards the limit against collapse, flooding and waste.
+// A deterministic queueing model: several nodes call one target that runs as many requests as it
+// has slots and queues the others in order of arrival. Guards against a limit that collapses, that
+// overloads the target or that leaves slots idle.
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -21,7 +22,7 @@
   std::size_t nodes = 12;
   std::uint32_t slots = 45;
   double service_ms = 20;
-  /// Share of the nodes that have demand.
+  /// Number of nodes that have demand.
   std::size_t active = 12;
   /// Requests the upstream queues before it refuses.
   std::size_t upstream_queue = 1'000;
@@ -49,11 +50,11 @@
     const time_point end = now_ + length;
     completed_ = 0;
     peak_in_flight_ = 0;
-    area_ = 0;
+    in_flight_sum_ = 0;
     std::size_t steps = 0;
     for (; now_ < end; now_ += step, ++steps) {
       while (!running_.empty() && running_.top().end <= now_) {
-        const work it = running_.top();
+        const request it = running_.top();
         running_.pop();
         tables_[it.node].release(now_, "t", attempt_end::answered, now_ - it.sent);
         ++completed_;
@@ -70,7 +71,7 @@
         }
       }
       while (running_.size() < options_.slots && !waiting_.empty()) {
-        work it = waiting_.front();
+        request it = waiting_.front();
         waiting_.pop_front();
         std::lognormal_distribution<double> spread(0, 0.5);
         const double ms = options_.service_ms / speed * spread(random_);
@@ -78,12 +79,12 @@
         running_.push(it);
       }
       peak_in_flight_ = std::max(peak_in_flight_, running_.size() + waiting_.size());
-      area_ += static_cast<double>(running_.size() + waiting_.size());
+      in_flight_sum_ += static_cast<double>(running_.size() + waiting_.size());
       for (auto& it : tables_) {
         it.tick(now_);
       }
     }
-    mean_in_flight_ = area_ / static_cast<double>(steps);
+    mean_in_flight_ = in_flight_sum_ / static_cast<double>(steps);
     rate_ = static_cast<double>(completed_) / std::chrono::duration<double>(length).count();
   }
 
@@ -108,30 +109,30 @@
   double speed = 1;
 
  private:
-  struct work {
+  struct request {
     std::size_t node = 0;
     time_point sent;
     time_point end;
-    bool operator<(const work& other) const { return end > other.end; }
+    bool operator<(const request& other) const { return end > other.end; }
   };
 
   model_settings options_;
   std::mt19937_64 random_;
   time_point now_{seconds{1'000}};
   std::vector<target_table> tables_;
-  std::deque<work> waiting_;
-  std::priority_queue<work> running_;
+  std::deque<request> waiting_;
+  std::priority_queue<request> running_;
   std::size_t completed_ = 0;
   std::size_t shed_ = 0;
   std::size_t peak_in_flight_ = 0;
-  double area_ = 0;
+  double in_flight_sum_ = 0;
   double mean_in_flight_ = 0;
   double rate_ = 0;
 };
 
 } // namespace
 
-TEST_CASE("the limit finds the slots within some round trips and stays there") {
+TEST_CASE("the limit reaches the number of slots within 20 round trips and stays there") {
   // Guards against a limit that never grows to the slots, or that collapses at steady load
   // because latency varies.
   queueing_model model({});
@@ -150,7 +151,8 @@
 }
 
 TEST_CASE("few nodes with all the demand use most of the target") {
-  // Guards against a cap at the even division, which leaves three quarters of the slots idle.
+  // Guards against a cap at the fair share, which leaves slots idle when few nodes have demand (at
+  // a quarter of the nodes, three quarters of the slots).
   queueing_model model({.active = 4});
   model.run(seconds{2});
   model.run(seconds{10});
@@ -159,8 +161,8 @@
   CHECK(model.rate() > 0.85 * model.capacity());
 }
 
-TEST_CASE("limits learned by few nodes do not flood the target when all nodes call") {
-  // Guards against unused limits that stay high: demand moves from four nodes to all.
+TEST_CASE("limits learned by few nodes do not overload the target when all nodes call") {
+  // Guards against unused limits that stay high while demand moves from four nodes to all.
   queueing_model model({.active = 4});
   model.run(seconds{10});
   model.set_active(0);
@@ -190,9 +192,9 @@
   CHECK(model.rate() > 0.9 * model.capacity());
 }
 
-TEST_CASE("a cold target is not flooded") {
-  // Guards against slow start beyond the announced slots while the first answers are still out,
-  // and against a restarted target that gets the limit of its warm predecessor.
+TEST_CASE("a cold target is not overloaded") {
+  // Guards against slow start beyond the announced slots before the first answers arrive, and
+  // against a restarted target that keeps the limit learned before the restart.
   queueing_model model({});
   model.speed = 0.25;
   model.run(milliseconds{300});
@@ -204,9 +206,9 @@
   CHECK(model.limit_sum() <= 12 * 4);
 }
 
-TEST_CASE("refusals of the upstream hold the sum of the limits near its room") {
-  // Guards against fast refusals that count as low latency and raise the limit. Misleading
-  // announcement: the upstream queues 5 requests only.
+TEST_CASE("refusals of the upstream keep the sum of the limits near its capacity") {
+  // Guards against fast refusals that count as low latency and raise the limit. The upstream
+  // queues only 5 requests beyond its slots and refuses the others.
   queueing_model model({.upstream_queue = 5});
   model.run(seconds{10});
   MESSAGE("short upstream queue: rate ", model.rate(), " of ", model.capacity(), ", refused ",
--- a/tests/routing/target_table_test.cpp
+++ b/tests/routing/target_table_test.cpp
@@ -30,7 +30,7 @@
   return {};
 }
 
-/// Fills the target's limit and answers everything, some round trips long.
+/// Fills the targets' limits and answers every request, for the given number of round trips.
 void use_fully(target_table& table, time_point& now, int rounds, milliseconds latency) {
   for (int it = 0; it < rounds; ++it) {
     std::vector<std::string> taken;
@@ -47,8 +47,8 @@
 
 } // namespace
 
-TEST_CASE("local targets come first, others only when the local ones have no room") {
-  // Guards against cross-data-centre latency while local targets are free.
+TEST_CASE("local targets come first, others only when the local ones are at their limits") {
+  // Guards against calls to another data centre while local targets have free slots.
   target_table table({}, "a", 1);
   table.set_targets(start, {record("l"), record("r", "b")}, 2);
   for (int it = 0; it < 4; ++it) {
@@ -64,8 +64,9 @@
   CHECK_FALSE(table.has_target(start, "s"));
 }
 
-TEST_CASE("a draining target gets no new work and a target that left frees its row") {
-  // Guards against new work for an upstream that asked to leave (P10).
+TEST_CASE("a draining target gets no new requests and a target that left is removed") {
+  // Guards against new requests to an upstream that is draining, and against a lost count of the
+  // requests in flight when a target leaves and returns.
   target_table table({}, "a", 1);
   table.set_targets(start, {record("t")}, 1);
   REQUIRE(table.acquire(start, "s", {}));
@@ -83,8 +84,8 @@
   table.release(start, "t", attempt_end::answered, seconds{1});
 }
 
-TEST_CASE("connect failures exclude with doubling and then allow one trial at a time") {
-  // Guards against a burst of requests at a target that is still dead.
+TEST_CASE("connect failures exclude a target for doubling times, then allow one trial at a time") {
+  // Guards against a burst of requests to a target that still refuses connections.
   target_table table({}, "a", 1);
   table.set_targets(start, {record("t")}, 1);
   time_point now = start;
@@ -107,7 +108,8 @@
 }
 
 TEST_CASE("connect failures of requests sent together count once") {
-  // Guards against an exclusion of seconds after one short interruption.
+  // Guards against an exclusion that lasts seconds after one short interruption, because several
+  // requests in flight failed together.
   target_table table({}, "a", 1);
   table.set_targets(start, {record("t")}, 1);
   for (int it = 0; it < 4; ++it) {
@@ -120,7 +122,7 @@
 }
 
 TEST_CASE("refusals and timeouts lower the limit at most once per round trip") {
-  // Guards against a collapse to 1 when all requests of one round trip are refused.
+  // Guards against a limit that falls to 1 when all requests of one round trip fail.
   for (const attempt_end end : {attempt_end::shed, attempt_end::timed_out}) {
     target_table table({}, "a", 1);
     table.set_targets(start, {record("t")}, 1);
@@ -142,7 +144,8 @@
 }
 
 TEST_CASE("fast refusals count once per service latency, not per refusal") {
-  // Guards against a collapse within milliseconds: refusals return faster than answers.
+  // Guards against a limit that falls to 1 within milliseconds, because refusals return faster
+  // than answers.
   target_table table({}, "a", 1);
   table.set_targets(start, {record("t")}, 1);
   time_point now = start;
@@ -156,8 +159,8 @@
 }
 
 TEST_CASE("deadlines below the usual latency do not lower the limit") {
-  // Guards against one account that asks for a timeout of 1 ms and so takes the targets' limits
-  // from all others.
+  // Guards against one account that lowers the targets' limits for all others by asking for a
+  // timeout as short as 1 ms.
   target_table table({}, "a", 1);
   table.set_targets(start, {record("t")}, 1);
   time_point now = start;
@@ -171,8 +174,8 @@
 }
 
 TEST_CASE("the limit recovers within half a second after everything timed out") {
-  // Guards against a target that stays nearly unused after a short stall, because the limit at 1
-  // sees few answers per round trip.
+  // Guards against a target that stays nearly unused after a short stall, because at a limit of 1
+  // few answers arrive per round trip.
   for (const std::uint32_t nodes : {12U, 2U}) {
     target_table table({}, "a", 1);
     table.set_targets(start, {record("t", "a", 45)}, nodes);
@@ -194,7 +197,7 @@
       use_fully(table, now, 1, milliseconds{20});
       ++rounds;
     }
-    MESSAGE(nodes, " nodes: ", rounds, " round trips to three quarters of the even division");
+    MESSAGE(nodes, " nodes: ", rounds, " round trips to three quarters of the fair share");
     CHECK(rounds <= 25);
   }
 }
@@ -239,8 +242,8 @@
   }));
 }
 
-TEST_CASE("an unused limit does not grow, and an unused one above the even division falls") {
-  // Guards against limits that rise for hours of light load and then let a surge through.
+TEST_CASE("an unused limit does not grow, and an unused one above the fair share falls") {
+  // Guards against limits that grow during hours of light load and then do not hold back a surge.
   target_table table({}, "a", 1);
   table.set_targets(start, {record("t", "a", 80)}, 8);
   time_point now = start;
@@ -260,7 +263,7 @@
 }
 
 TEST_CASE("a new incarnation is cold, and late answers of the old one do not count") {
-  // Guards against flooding a process that has just started.
+  // Guards against overloading a process that has just started.
   target_table table({}, "a", 1);
   table.set_targets(start, {record("t")}, 1);
   time_point now = start;
@@ -275,8 +278,8 @@
   CHECK(state_of(table, now, "t").in_flight == 0);
 }
 
-TEST_CASE("one reset leads to a trial, repeated resets exclude") {
-  // Guards against losing a target for seconds because one request was reset.
+TEST_CASE("one connection reset leads to a trial, repeated resets exclude the target") {
+  // Guards against a target that is excluded for seconds because one connection was reset.
   target_table table({}, "a", 1);
   table.set_targets(start, {record("t")}, 1);
   REQUIRE(table.acquire(start, "s", {}));
@@ -311,8 +314,9 @@
   }
 }
 
-TEST_CASE("subsets keep the connections of a target within its announcement") {
-  // Guards against 137 nodes that each open a connection or more to every target of 190.
+TEST_CASE("subsets keep the connections of a target within the announced number") {
+  // Guards against 137 nodes that each open one or more connections to every target, although
+  // each target announces only 190.
   std::map<std::string, std::uint32_t> connections;
   std::set<std::size_t> sizes;
   std::vector<target_record> targets;
@@ -341,7 +345,7 @@
 }
 
 TEST_CASE("the baselines keep their fixed limit or none") {
-  // Guards against measurements whose baseline is controlled as well.
+  // Guards against baseline measurements in which the limit is adapted after all.
   target_table fixed({.mode = policy::fixed, .fixed_limit = 7}, "a", 1);
   target_table none({.mode = policy::none}, "a", 1);
   for (auto* it : {&fixed, &none}) {
--- a/tests/routing/waiting_queue_test.cpp
+++ b/tests/routing/waiting_queue_test.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 constexpr time_point start{seconds{1'000}};
-constexpr time_point far = start + seconds{60};
+constexpr time_point far_deadline = start + seconds{60};
 } // namespace
 
 TEST_CASE("important calls leave the queue first, the least important are dropped first") {
-  // Guards against shedding growers' reads before bulk reads (P2).
+  // Guards against dropping important calls while less important ones are still queued.
   waiting_queue queue({.max_length = 3});
-  const auto low = *queue.push(start, "s", importance::low, far).own;
-  const auto normal = *queue.push(start, "s", importance::normal, far).own;
-  const auto high = *queue.push(start, "s", importance::high, far).own;
-  CHECK_FALSE(queue.push(start, "s", importance::low, far).own);
-  const auto result = queue.push(start, "s", importance::critical, far);
+  const auto low = *queue.push(start, "s", importance::low, far_deadline).own;
+  const auto normal = *queue.push(start, "s", importance::normal, far_deadline).own;
+  const auto high = *queue.push(start, "s", importance::high, far_deadline).own;
+  CHECK_FALSE(queue.push(start, "s", importance::low, far_deadline).own);
+  const auto result = queue.push(start, "s", importance::critical, far_deadline);
   CHECK(result.dropped == low);
   CHECK(queue.length("s") == 3);
   CHECK(queue.pop(start, "s") == result.own);
@@ -29,11 +29,11 @@
   CHECK_FALSE(queue.pop(start, "s"));
 }
 
-TEST_CASE("calls expire by their wait or deadline and are never served after it") {
-  // Guards against work for callers that have gone.
+TEST_CASE("calls expire at their maximum wait or deadline and are never served after it") {
+  // Guards against work for callers that have already given up.
   waiting_queue queue({});
   const auto soon = *queue.push(start, "s", importance::normal, start + milliseconds{5}).own;
-  const auto later = *queue.push(start, "s", importance::normal, far).own;
+  const auto later = *queue.push(start, "s", importance::normal, far_deadline).own;
   CHECK_FALSE(queue.push(start, "s", importance::normal, start).own);
   CHECK(queue.pop(start + milliseconds{6}, "s") == later);
   CHECK_FALSE(queue.pop(start + milliseconds{6}, "s"));
@@ -42,15 +42,15 @@
 }
 
 TEST_CASE("the newest is served first only while the delay stays above target") {
-  // Guards against first-in first-out under overload, where every call waits until it is
-  // nearly too late, and against unfair order at light load.
+  // Guards against first-in first-out order under overload, where every call waits almost until
+  // its deadline, and against last-in first-out order at light load.
   waiting_queue queue({});
   time_point now = start;
   std::vector<waiting_queue::ticket> tickets;
   for (int it = 0; it < 15; ++it, now += milliseconds{10}) {
     (void)queue.expire(now);
     for (int n = 0; n < 2; ++n) {
-      tickets.push_back(*queue.push(now, "s", importance::normal, far).own);
+      tickets.push_back(*queue.push(now, "s", importance::normal, far_deadline).own);
     }
   }
   CHECK(queue.overloaded("s"));
@@ -59,8 +59,8 @@
   }
   (void)queue.expire(now);
   CHECK_FALSE(queue.overloaded("s"));
-  const auto first = queue.push(now, "s", importance::normal, far).own;
-  (void)queue.push(now, "s", importance::normal, far);
+  const auto first = queue.push(now, "s", importance::normal, far_deadline).own;
+  (void)queue.push(now, "s", importance::normal, far_deadline);
   CHECK(queue.pop(now, "s") == first);
 }
 
