--- a/source/shares/allocator.cpp
+++ b/source/shares/allocator.cpp
@@ -6,21 +6,22 @@
 namespace damaskledge::shares {
 namespace {
 
-/// Absorbs rounding of sums of doubles; far below a whole token.
+/// Tolerance in tokens for rounding errors in sums of doubles; far below a whole token.
 constexpr double rounding = 1e-6;
-/// A holder without tokens is forgotten after this time.
+/// A holder without tokens and without a waiting request is removed after this time.
 constexpr seconds holder_idle{10};
-/// Donors are asked at most this often for one account while they give.
+/// Minimum time between transfer requests for one account while donors grant tokens.
 constexpr milliseconds transfer_interval{10};
-/// Callers that wait are not kept waiting for an answer of a donor for longer than this.
+/// Time after which an unanswered transfer request no longer delays the next one.
 constexpr milliseconds transfer_retry{15};
-/// Longest pause between requests to donors that have nothing to give. Bounds the messages of an
-/// account that stays above its rate, and still follows demand that moves.
+/// Longest pause between transfer requests while donors have no tokens. Bounds the number of
+/// messages for an account that stays above its rate, yet is short enough to follow demand that
+/// moves between data centres.
 constexpr milliseconds transfer_backoff_limit{160};
-/// Largest part of the data centre's burst that is kept for its own nodes.
+/// Largest fraction of the data centre's burst that is reserved for its own nodes.
 constexpr double reserve_fraction = 0.25;
 /// Sequence numbers further apart than this belong to different terms of a coordinator, because
-/// each term starts at a hash of its own.
+/// each term starts at a different hash value.
 constexpr std::uint64_t sequence_window = std::uint64_t{1} << 32U;
 
 double seconds_of(duration value) {
@@ -55,7 +56,7 @@
   started_ = now;
   previous_settled_ = previous_settled;
   // A grant for a request of an earlier term must not match a request of this one, so each term
-  // counts from a place of its own.
+  // starts its sequence numbers at a hash of the data centre and the term.
   next_sequence_ =
       hash64(data_centre_ + "/" + std::to_string(held.epoch) + "/" + std::to_string(held.rank)) >>
       1U;
@@ -85,8 +86,8 @@
     if (active_) {
       advance(row, now);
     }
-    // A missing account keeps its row without a limit until its tokens have ended, so that it
-    // does not start afresh beside them when it comes back.
+    // A removed account is kept with a limit of zero until its tokens have expired. If it is added
+    // again before that, the old tokens still count against its burst.
     const auto it = limits.find(name);
     row.current = it == limits.end() ? limit{} : it->second;
     row.highest.rate = std::max(row.highest.rate, row.current.rate);
@@ -114,36 +115,38 @@
   return std::max(value.burst * options_.ceiling_fraction, std::min(1.0, value.burst));
 }
 
-/// Tokens of the previous term that may still be spent.
+/// Upper bound of the tokens of previous terms that may still be spent.
 double allocator::predecessor(const account_row& row, time_point now) const {
   if (!active_ || now >= started_ + options_.grant_ttl + options_.clock_margin) {
     return 0;
   }
-  // The previous coordinator may have given its tokens to another data centre just before. When
-  // it had not settled, grants of two earlier terms may be alive, which together can reach the
-  // whole burst.
+  // The previous coordinator may have transferred tokens to another data centre just before its
+  // term ended. If it had not settled, unexpired grants of two earlier terms may exist, which
+  // together can reach the whole burst.
   if (!previous_settled_ || now < started_ + options_.transfer_ttl + options_.clock_margin) {
     return row.highest.burst;
   }
   return ceiling(row.highest);
 }
 
-/// Tokens that may be added without passing the burst; negative while a lowered limit drains.
+/// Tokens that may be added without exceeding the burst. Negative after a limit was lowered, until
+/// enough tokens have been settled or have expired.
 double allocator::room(const account_row& row, time_point now) const {
   return row.current.burst - row.available - static_cast<double>(row.outstanding) -
          tokens_of(row.given_millitokens) - predecessor(row, now);
 }
 
-/// Tokens that the data centre's own nodes will soon want. They are kept available so that
-/// requests do not wait for another data centre. Of a small burst little can be kept: each
-/// transfer occupies its tokens' part of the donor's burst until the transfer has ended.
+/// Tokens that the data centre's own nodes are expected to request within `transfer_ttl`. They
+/// are kept available so that requests do not wait for another data centre. Limited to a fraction
+/// of the burst, because each transfer uses up that many tokens of the donor's burst until it is
+/// confirmed or expires.
 double allocator::reserve(const account_row& row) const {
   return std::min(row.use * seconds_of(options_.transfer_ttl),
                   row.current.burst * reserve_fraction);
 }
 
-/// Must run before counts are lowered: time that passed with a full bucket must not be credited
-/// into room that appeared only now.
+/// Adds the tokens accrued since the last call. Must run before counts are lowered: time that
+/// passed with a full bucket must not be credited to headroom that appears only now.
 void allocator::accrue(account_row& row, time_point now) const {
   if (now <= row.accrued_at) {
     return;
@@ -187,7 +190,7 @@
   }
   std::uint64_t left = settled_total - who.settled;
   who.settled = settled_total;
-  // Tokens that ended here by time are reported too; they must not be taken off twice.
+  // The node also reports tokens that have expired here; they must not be subtracted twice.
   const std::uint64_t known = std::min(left, who.written_off);
   who.written_off -= known;
   left -= known;
@@ -204,8 +207,9 @@
   }
 }
 
-/// A holder gets at most half of the available tokens and half of what the others leave of the
-/// ceiling, so that a busy node does not lock out the rest of the data centre; one token always.
+/// A holder gets at most half of the available tokens, and may have at most half of the part of
+/// the ceiling that other holders leave free, so that a busy node does not starve the rest of the
+/// data centre. Both limits are at least one token.
 std::uint32_t allocator::grantable(const account_row& row, const holder& who,
                                    std::uint32_t wanted) const {
   const auto outstanding = static_cast<double>(row.outstanding);
@@ -217,8 +221,8 @@
   return std::min({wanted, free, whole(share), whole(half)});
 }
 
-/// Checks the invariant for a decision that takes `tokens` out of the available ones, with sums
-/// made anew from the tables.
+/// Checks the invariant before `tokens` are taken from the available ones, with sums recomputed
+/// from the lots. Reports a violation and returns false if it does not hold.
 bool allocator::may_spend(const std::string& account, const account_row& row, double tokens,
                           time_point now, std::string_view decision) const {
   std::uint64_t outstanding = 0;
@@ -303,7 +307,7 @@
   if (unmet == 0 && (row.available >= kept || !row.transfers.empty())) {
     return;
   }
-  // Callers do not wait for the whole time of a transfer, so a lost one must not delay the next.
+  // Callers wait for less than `transfer_ttl`, so a lost transfer must not delay the next one.
   const bool asked_just_now =
       std::any_of(row.transfers.begin(), row.transfers.end(),
                   [&](const auto& it) { return now - it.second.sent < transfer_retry; });
@@ -314,7 +318,7 @@
   if (need <= 0) {
     return;
   }
-  // Rounded up, so that the parts add up to a whole token.
+  // Rounded up, so that the donors' parts add up to at least the need.
   const std::uint32_t wanted =
       whole_millitokens(need / static_cast<double>(donors_.size()) + 1 / millitokens_per_token);
   for (const donor& it : donors_) {
@@ -324,7 +328,7 @@
                    wire::transfer_request{account, data_centre_, sequence, wanted}});
   }
   row.next_transfer = now + std::max(transfer_interval, row.transfer_backoff);
-  // Reset when a donor gives.
+  // Reset when a donor grants enough tokens.
   row.transfer_backoff =
       std::min(transfer_backoff_limit, std::max(transfer_interval, 2 * row.transfer_backoff));
 }
@@ -370,7 +374,7 @@
 void allocator::handle(time_point now, const wire::incoming& from,
                        const wire::token_request& request, std::vector<wire::outgoing>& out) {
   const auto found = accounts_.find(request.account);
-  // A node that has seen a higher term would not honour a grant of this one.
+  // A node that has seen a higher term would ignore a grant of this one.
   if (found == accounts_.end() || request.held > held_) {
     return;
   }
@@ -381,7 +385,7 @@
   holder& who = it->second;
   const bool counts = request.held == held_;
   if (added) {
-    // Nothing of this holder is outstanding, so all that it settled before is done with.
+    // This holder has no outstanding tokens, so the tokens it has settled so far need no handling.
     who.settled = counts ? request.settled_total : 0;
   } else if (request.sequence < who.sequence) {
     return;
@@ -420,7 +424,7 @@
   advance(row, now);
   const auto [seen, added] = row.transfer_seen.try_emplace(request.data_centre, request.sequence);
   if (!added) {
-    // The requester accepts one answer; a second one would only lose tokens.
+    // The requester accepts one answer only; the tokens of a second one would be lost.
     if (request.sequence <= seen->second && seen->second - request.sequence < sequence_window) {
       return;
     }
@@ -428,7 +432,7 @@
   }
   std::uint32_t given = 0;
   if (row.queue.empty()) {
-    // Half of what is available, but of less than two tokens up to one.
+    // Half of the available tokens, but at least one, as far as the reserve permits.
     const double half = std::max(1.0, row.available / 2);
     given = std::min(request.wanted_millitokens,
                      whole_millitokens(std::min(row.available - reserve(row), half)));
@@ -463,8 +467,8 @@
   if (now - asked.sent >= options_.transfer_ttl || grant.millitokens == 0) {
     return;
   }
-  // Less than a token and than half of what was wanted does not bring the next request forward: a
-  // donor has that little after every wait, also for an account above its rate.
+  // A grant below one token and below half of the wanted amount does not reset the backoff: a
+  // donor accrues that little during every pause, even for an account above its rate.
   if (grant.millitokens >= millitokens_per_token ||
       2 * std::uint64_t{grant.millitokens} >= asked.wanted_millitokens) {
     row.transfer_backoff = milliseconds{0};
--- a/source/shares/node_buckets.cpp
+++ b/source/shares/node_buckets.cpp
@@ -6,14 +6,14 @@
 namespace damaskledge::shares {
 namespace {
 
-/// A node without tokens reports what it has settled at most this often.
+/// Minimum time between reports of settled tokens from a node without tokens.
 constexpr milliseconds report_interval{10};
-/// A node asks early when fewer tokens remain than it uses in this time.
+/// A node requests tokens before it runs out when it holds fewer than it uses in this time.
 constexpr milliseconds early_use{100};
-/// Repeats of a request for which callers wait. A lost datagram then costs a quarter of their
-/// wait, and a second one does not use it up.
+/// Retransmission timeout of a request that callers wait for. One lost datagram costs a quarter of
+/// `caller_wait`, and a second one still leaves time for an answer.
 constexpr milliseconds urgent_timeout{10};
-/// Callers wait for tokens about this long; see the setting token_wait.
+/// Approximate time for which callers wait for tokens; see the setting token_wait.
 constexpr milliseconds caller_wait{40};
 
 double seconds_of(duration value) {
@@ -103,14 +103,16 @@
     return take_result::taken;
   }
   if (last) {
-    // Counted once more, it would bring a token for no caller, which lies here until it ends. In
-    // a small burst that is most of what the data centre may have outstanding.
+    // Counting this call as demand would request a token that no caller uses and that stays here
+    // until it expires. With a small burst, that is most of what may be outstanding in the data
+    // centre.
     return take_result::refused;
   }
   if (!has_coordinator_) {
     return take_result::refused;
   }
-  // After an answer without tokens, only as many callers wait as the account's rate may serve.
+  // After an answer without tokens, only as many callers may wait as the account's rate can serve
+  // within `caller_wait`.
   const double useful = std::max(1.0, row.fleet.rate * seconds_of(caller_wait));
   if (row.denials > 0 && row.waiting >= useful) {
     return take_result::refused;
@@ -139,7 +141,8 @@
     start_stream(row);
   }
   if (row.in_flight) {
-    // After an answer without tokens the next one is late because the allocator waits for some.
+    // After an answer without tokens, the next answer is probably late because the allocator holds
+    // the request until it has tokens, so it is not repeated early.
     const bool urgent = row.waiting > 0 && row.lots.empty() && row.denials == 0;
     if (now - row.in_flight->last_sent >=
         (urgent ? std::min(urgent_timeout, options_.request_timeout) : options_.request_timeout)) {
@@ -152,7 +155,7 @@
   for (const lot& it : row.lots) {
     remaining += it.tokens;
   }
-  // Demand that has moved away is not followed by requests for tokens that would expire.
+  // No prefetching after demand has stopped at this node: the tokens would expire unused.
   const double horizon =
       now - row.last_taken < early_use ? seconds_of(options_.request_horizon) : 0;
   const auto ahead = static_cast<std::uint32_t>(
@@ -160,8 +163,8 @@
   const bool interval_passed = now - row.last_sent >= options_.request_interval;
   const bool early = ahead > remaining && interval_passed &&
                      remaining < std::max(1.0, row.use * seconds_of(early_use));
-  // An account above its rate is not asked for at every denial; one that is within its rate
-  // hardly ever sees two denials in a row.
+  // Requests for an account above its rate are limited to one per interval. An account within its
+  // rate is rarely denied twice in succession.
   const bool may_ask = row.denials < 2 || interval_passed;
   const bool empty = remaining == 0 && (row.waiting > 0 || ahead > 0);
   if ((empty && may_ask) || early) {
@@ -171,11 +174,11 @@
     send(account, row, next_sequence_, wanted, now, out);
   } else if (row.settled > row.reported &&
              (interval_passed || (remaining == 0 && now - row.last_sent >= report_interval))) {
-    // A report needs no answer: the count is cumulative.
+    // A report needs no acknowledgement, because the settled count is cumulative.
     send(account, row, ++next_sequence_, 0, now, out);
     row.report_repeats = remaining == 0 ? 1 : 0;
   } else if (row.report_repeats > 0 && interval_passed) {
-    // A lost report would keep what it settles outstanding until it ends.
+    // Repeated, because a lost report would leave its tokens outstanding until they expire.
     --row.report_repeats;
     send(account, row, ++next_sequence_, 0, now, out);
   }
@@ -202,7 +205,8 @@
   const bool answers =
       row != nullptr && row->in_flight && row->in_flight->sequence == grant->sequence;
   if (!has_coordinator_ || grant->held > held_) {
-    // The new allocator counts this grant under the present stream.
+    // The allocator of the new term counts this grant under the request's stream, so that stream
+    // is kept.
     adopt(from.from, grant->held, answers ? row : nullptr);
   }
   if (!answers) {
--- a/source/shares/shares.h
+++ b/source/shares/shares.h
@@ -1,8 +1,9 @@
 /// @file
-/// Shares of an account's rate and burst as tokens: the allocator of a data centre's
-/// coordinator and the buckets of a node.
+/// Distribution of an account's rate and burst as tokens: the allocator at the coordinator of a
+/// data centre, and the token buckets of each node.
 /// Invariant per account and allocator: available + outstanding + recently transferred
 /// is at most burst * weight, and available accrues at rate * weight.
+/// A token is settled when a node has used it or let it expire.
 #pragma once
 
 #include <cstdint>
@@ -20,24 +21,25 @@
 struct settings {
   milliseconds grant_ttl{500};
   milliseconds transfer_ttl{100};
-  /// Covers drift, and stops of a clock that last no longer than this in one `grant_ttl`.
+  /// Allows for clock drift, and for clock stops that total at most this within one `grant_ttl`.
   milliseconds clock_margin{100};
+  /// Largest fraction of an account's burst that may be outstanding on nodes.
   double ceiling_fraction = 0.5;
-  /// A node asks again at most this often for one account, unless it has run out.
+  /// Minimum time between a node's requests for one account, unless the node has no tokens left.
   milliseconds request_interval{50};
-  /// A node asks for what this time will use at its present rate of use.
+  /// A node requests the tokens that it will use within this time at its current rate of use.
   milliseconds request_horizon{150};
   /// An unanswered request is sent again, with the same sequence number, after this time. It is
   /// abandoned after `grant_ttl`, when any answer to it would have expired.
   milliseconds request_timeout{25};
-  /// The allocator keeps a request that it cannot serve for this time, in case tokens accrue or
-  /// come from a donor, before it answers with no tokens. Shorter than `request_timeout`, so
-  /// that the wait for tokens does not cause repeated requests.
+  /// The allocator holds a request that it cannot serve for this time, in case tokens accrue or
+  /// arrive from a donor, before it answers with no tokens. Shorter than `request_timeout`, so
+  /// that holding a request does not cause the node to repeat it.
   milliseconds request_hold{20};
-  /// Time constant of the averages of use.
+  /// Time constant of the exponential averages of token use and demand.
   milliseconds use_window{300};
-  /// A node that still has tokens asks for no more than this fraction of the account's burst,
-  /// so that tokens of small bursts do not lie idle on nodes.
+  /// A node prefetches at most this fraction of the account's burst, so that the tokens of a
+  /// small burst are not left unused on nodes.
   double prefetch_fraction = 0.125;
 };
 
@@ -51,7 +53,7 @@
   bool operator==(const limit&) const = default;
 };
 
-/// The coordinator of another data centre.
+/// Coordinator of another data centre, which may transfer tokens to this one.
 struct donor {
   std::string data_centre;
   endpoint address;
@@ -63,31 +65,34 @@
   /// @param data_centre name of the coordinator's data centre.
   allocator(settings options, std::string data_centre);
 
-  /// Starts a term with nothing available. The ceiling counts as outstanding until
-  /// `grant_ttl + clock_margin` after `now`; when the previous term had not settled,
-  /// nothing is granted until then.
+  /// Starts a term with no tokens available. Tokens that the previous term granted may still be
+  /// spent, so the ceiling counts as outstanding until `grant_ttl + clock_margin` after `now`.
+  /// Without `previous_settled` the whole burst counts, and nothing is granted until then.
   void start_term(time_point now, term held, bool previous_settled);
   void end_term();
-  /// Limits in force; accounts that are missing are dropped.
+  /// Replaces the limits in force. Accounts missing from `limits` get no more tokens and are
+  /// removed once none of their tokens can be spent.
   void set_limits(time_point now, const std::map<std::string, limit>& limits);
   void set_donors(std::vector<donor> donors);
 
-  /// Accrues, lets outstanding grants end, and asks donors for accounts that run short.
+  /// Accrues tokens, releases expired grants, answers waiting requests, and requests transfers
+  /// from donors for accounts that run short.
   std::vector<wire::outgoing> tick(time_point now);
-  /// Handles token requests, transfer requests and transfer grants.
+  /// Handles token requests, transfer requests, transfer grants and transfer receipts.
   std::vector<wire::outgoing> receive(time_point now, const wire::incoming& from);
 
-  /// Tokens that could still be spent under this allocator: available, outstanding and
-  /// recently transferred. For checks and metrics.
+  /// Tokens that could still be spent under this allocator or its previous term: available,
+  /// outstanding and recently transferred. For checks and metrics.
   double exposure(const std::string& account, time_point now) const;
 
  private:
-  /// Tokens that count against the burst until `ends`.
+  /// Tokens that count against the burst until `release_at`.
   struct lot {
     std::uint32_t tokens = 0;
     time_point ends;
   };
-  /// A counting stream of one node process: sender name and identifier from its requests.
+  /// Identifies a stream of grants to one node process (see `node_buckets::bucket::stream`) by
+  /// the sender's name and the identifier in its requests.
   struct holder_key {
     std::string sender;
     std::uint64_t process = 0;
@@ -104,7 +109,7 @@
     /// Tokens granted for `sequence`, sent again when the request is repeated.
     std::uint32_t answered = 0;
     std::uint64_t settled = 0;
-    /// Tokens whose time ended here before the node reported them as settled.
+    /// Tokens that expired here before the node reported them as settled.
     std::uint64_t written_off = 0;
     std::uint64_t outstanding = 0;
     std::deque<lot> lots;
@@ -114,8 +119,9 @@
     std::uint32_t waiting = 0;
     time_point waiting_since;
   };
-  /// Thousandths of a token that were given to another data centre. They count until it has
-  /// confirmed that they are in its own sum, or until `ends`, when it no longer accepts them.
+  /// Tokens transferred to another data centre, in thousandths. They count against the burst here
+  /// until the receiver confirms that it counts them, or until `release_at`, when it no longer
+  /// accepts them.
   struct given_lot {
     std::string data_centre;
     std::uint64_t sequence = 0;
@@ -129,12 +135,12 @@
   };
   struct account_row {
     limit current;
-    /// Largest limit of this term; the predecessor may have granted under it.
+    /// Highest rate and burst in this term; the previous term may have granted under them.
     limit highest;
     double available = 0;
     time_point accrued_at;
     std::uint64_t outstanding = 0;
-    /// No lot of a holder ends before this time.
+    /// Earliest `release_at` that any lot of a holder may have.
     time_point next_end = time_point::max();
     std::unordered_map<holder_key, holder, holder_key_hash> holders;
     /// Holders with a waiting request, in order of arrival.
@@ -144,11 +150,12 @@
     /// Average of tokens wanted per second.
     double use = 0;
     time_point use_at;
-    /// By sequence number. A donor may have several, because one may be lost.
+    /// Unanswered transfer requests by sequence number. A donor may have several, because a
+    /// request is retried before a lost one times out.
     std::map<std::uint64_t, transfer> transfers;
     time_point next_transfer;
     milliseconds transfer_backoff{0};
-    /// Highest transfer request seen from each data centre.
+    /// Sequence number of the latest transfer request from each data centre.
     std::map<std::string, std::uint64_t> transfer_seen;
   };
 
@@ -193,7 +200,8 @@
 /// Result of taking a token at a node.
 enum class take_result : std::uint8_t {
   taken,
-  /// None now, but a request for tokens is in flight; waiting may help.
+  /// No token is held. The caller may wait: the next tick requests tokens if no request is in
+  /// flight yet.
   pending,
   refused,
 };
@@ -204,23 +212,23 @@
   /// @param process random identifier of this process.
   node_buckets(settings options, std::uint64_t process);
 
-  /// Terms only rise; tokens of lower terms are dropped.
+  /// Ignores terms lower than the current one. A higher term drops all tokens held.
   void set_coordinator(time_point now, const endpoint& address, term held);
   /// Accounts in force with their fleet-wide limits; buckets of missing accounts are dropped.
   void set_accounts(const std::map<std::string, limit>& accounts);
 
-  /// Takes one token of `account`. Expired tokens are never used: the time is read again by
-  /// the caller just before, so a paused process finds them expired.
+  /// Takes one token of `account`. Expired tokens are never used: the caller must read `now`
+  /// immediately before the call, so that a process resumed after a pause finds them expired.
   /// Each `pending` result counts as one token wanted until the next grant of the account
-  /// arrives; a waiting caller takes again when a grant has arrived or its wait is over.
-  /// @param last the caller's wait is over. No further token is counted as wanted, and the result
+  /// arrives. A waiting caller calls again when a grant has arrived or its wait is over.
+  /// @param last the caller's wait is over: no further token is counted as wanted, and the result
   /// is `taken` or `refused`.
   take_result take(time_point now, const std::string& account, bool last = false);
   /// Requests for tokens that are due; called each tick and after a `pending` result.
   std::vector<wire::outgoing> tick(time_point now);
   /// Handles token grants.
   void receive(time_point now, const wire::incoming& from);
-  /// Time after which a refused call may find a token.
+  /// Estimated time until a refused caller may find a token; at most one minute.
   milliseconds retry_after(time_point now, const std::string& account) const;
   /// Unexpired tokens held, for checks and metrics.
   std::uint32_t held(time_point now, const std::string& account) const;
@@ -241,15 +249,15 @@
     limit fleet;
     /// In order of expiry, because grants are accepted in the order of their requests.
     std::deque<lot> lots;
-    /// Identifies one run of counting. All grants of a stream but the last are known to have
-    /// arrived, so that the allocator's and the node's counts agree; a lost grant starts a new
-    /// stream, and what the old one held ends by time.
+    /// Identifies a stream of grants with its own settled count. All grants of a stream except
+    /// the latest are known to have arrived, so the counts of allocator and node agree. A lost
+    /// grant starts a new stream; tokens of the old stream are released when they expire.
     std::uint64_t stream = 0;
     std::uint64_t settled = 0;
     std::uint64_t reported = 0;
     std::uint32_t report_repeats = 0;
     std::uint32_t waiting = 0;
-    /// Answers without tokens since the last one that brought some.
+    /// Consecutive answers without tokens.
     std::uint32_t denials = 0;
     std::optional<flight> in_flight;
     time_point last_sent;
