--- a/source/shares/shares.h
+++ b/source/shares/shares.h
@@ -68,7 +68,7 @@
   /// Starts a term with no tokens available. Tokens that the previous term granted may still be
   /// spent, so the ceiling counts as outstanding until `grant_ttl + clock_margin` after `now`.
   /// Without `previous_settled` the whole burst counts, and nothing is granted until then.
-  void start_term(time_point now, term held, bool previous_settled);
+  void start_term(time_point now, term new_term, bool previous_settled);
   void end_term();
   /// Replaces the limits in force. Accounts missing from `limits` get no more tokens and are
   /// removed once none of their tokens can be spent.
@@ -79,7 +79,7 @@
   /// from donors for accounts that run short.
   std::vector<wire::outgoing> tick(time_point now);
   /// Handles token requests, transfer requests, transfer grants and transfer receipts.
-  std::vector<wire::outgoing> receive(time_point now, const wire::incoming& from);
+  std::vector<wire::outgoing> receive(time_point now, const wire::incoming& message);
 
   /// Tokens that could still be spent under this allocator or its previous term: available,
   /// outstanding and recently transferred. For checks and metrics.
@@ -89,7 +89,7 @@
   /// Tokens that count against the burst until `release_at`.
   struct lot {
     std::uint32_t tokens = 0;
-    time_point ends;
+    time_point release_at;
   };
   /// Identifies a stream of grants to one node process (see `node_buckets::bucket::stream`) by
   /// the sender's name and the identifier in its requests.
@@ -107,13 +107,13 @@
   struct holder {
     std::uint64_t sequence = 0;
     /// Tokens granted for `sequence`, sent again when the request is repeated.
-    std::uint32_t answered = 0;
+    std::uint32_t answered_tokens = 0;
     std::uint64_t settled = 0;
     /// Tokens that expired here before the node reported them as settled.
-    std::uint64_t written_off = 0;
+    std::uint64_t expired_unreported = 0;
     std::uint64_t outstanding = 0;
     std::deque<lot> lots;
-    time_point seen;
+    time_point last_seen;
     endpoint reply_to;
     /// Tokens wanted by a request that is waiting for tokens; 0 when none waits.
     std::uint32_t waiting = 0;
@@ -122,18 +122,18 @@
   /// Tokens transferred to another data centre, in thousandths. They count against the burst here
   /// until the receiver confirms that it counts them, or until `release_at`, when it no longer
   /// accepts them.
-  struct given_lot {
+  struct transferred_lot {
     std::string data_centre;
     std::uint64_t sequence = 0;
     std::uint32_t millitokens = 0;
-    time_point ends;
+    time_point release_at;
   };
-  struct transfer {
+  struct pending_transfer {
     std::string data_centre;
     time_point sent;
     std::uint32_t wanted_millitokens = 0;
   };
-  struct account_row {
+  struct account_state {
     limit current;
     /// Highest rate and burst in this term; the previous term may have granted under them.
     limit highest;
@@ -141,58 +141,59 @@
     time_point accrued_at;
     std::uint64_t outstanding = 0;
     /// Earliest `release_at` that any lot of a holder may have.
-    time_point next_end = time_point::max();
+    time_point next_release = time_point::max();
     std::unordered_map<holder_key, holder, holder_key_hash> holders;
     /// Holders with a waiting request, in order of arrival.
     std::deque<holder_key> queue;
-    std::deque<given_lot> given;
-    std::uint64_t given_millitokens = 0;
+    std::deque<transferred_lot> transferred_lots;
+    std::uint64_t transferred_millitokens = 0;
     /// Average of tokens wanted per second.
-    double use = 0;
-    time_point use_at;
+    double demand_rate = 0;
+    time_point demand_updated_at;
     /// Unanswered transfer requests by sequence number. A donor may have several, because a
     /// request is retried before a lost one times out.
-    std::map<std::uint64_t, transfer> transfers;
+    std::map<std::uint64_t, pending_transfer> pending_transfers;
     time_point next_transfer;
     milliseconds transfer_backoff{0};
     /// Sequence number of the latest transfer request from each data centre.
-    std::map<std::string, std::uint64_t> transfer_seen;
+    std::map<std::string, std::uint64_t> last_transfer_sequence;
   };
 
   settings options_;
   std::string data_centre_;
   bool active_ = false;
-  term held_;
-  time_point started_;
+  term term_;
+  time_point term_started_at_;
   bool previous_settled_ = false;
   std::uint64_t next_sequence_ = 0;
   std::vector<donor> donors_;
-  std::map<std::string, account_row> accounts_;
+  std::map<std::string, account_state> accounts_;
 
   double ceiling(const limit& value) const;
-  double predecessor(const account_row& row, time_point now) const;
-  double room(const account_row& row, time_point now) const;
-  double reserve(const account_row& row) const;
-  void accrue(account_row& row, time_point now) const;
-  static void release(account_row& row, time_point now);
-  void advance(account_row& row, time_point now) const;
-  static void settle(account_row& row, holder& who, std::uint64_t settled_total);
-  std::uint32_t grantable(const account_row& row, const holder& who, std::uint32_t wanted) const;
-  bool may_spend(const std::string& account, const account_row& row, double tokens, time_point now,
-                 std::string_view decision) const;
-  void answer(const std::string& account, account_row& row, holder& who, std::uint32_t tokens,
-              time_point now, std::vector<wire::outgoing>& out) const;
-  void serve(const std::string& account, account_row& row, time_point now,
-             std::vector<wire::outgoing>& out) const;
-  void ask_donors(const std::string& account, account_row& row, time_point now,
-                  std::vector<wire::outgoing>& out);
-  void reset(account_row& row, time_point now) const;
+  double previous_term_tokens(const account_state& state, time_point now) const;
+  double headroom(const account_state& state, time_point now) const;
+  double local_reserve(const account_state& state) const;
+  void accrue(account_state& state, time_point now) const;
+  static void release_expired(account_state& state, time_point now);
+  void advance(account_state& state, time_point now) const;
+  static void settle(account_state& state, holder& requester, std::uint64_t settled_total);
+  std::uint32_t grantable(const account_state& state, const holder& requester,
+                          std::uint32_t wanted) const;
+  bool may_spend(const std::string& account, const account_state& state, double tokens,
+                 time_point now, std::string_view decision) const;
+  void answer(const std::string& account, account_state& state, holder& requester,
+              std::uint32_t tokens, time_point now, std::vector<wire::outgoing>& out) const;
+  void serve_waiting(const std::string& account, account_state& state, time_point now,
+                     std::vector<wire::outgoing>& out) const;
+  void request_transfers(const std::string& account, account_state& state, time_point now,
+                         std::vector<wire::outgoing>& out);
+  void reset(account_state& state, time_point now) const;
 
-  void handle(time_point now, const wire::incoming& from, const wire::token_request& request,
+  void handle(time_point now, const wire::incoming& message, const wire::token_request& request,
               std::vector<wire::outgoing>& out);
-  void handle(time_point now, const wire::incoming& from, const wire::transfer_request& request,
+  void handle(time_point now, const wire::incoming& message, const wire::transfer_request& request,
               std::vector<wire::outgoing>& out);
-  void handle(time_point now, const wire::incoming& from, const wire::transfer_grant& grant,
+  void handle(time_point now, const wire::incoming& message, const wire::transfer_grant& grant,
               std::vector<wire::outgoing>& out);
   void handle(time_point now, const wire::transfer_receipt& receipt);
 };
@@ -200,7 +201,7 @@
 /// Result of taking a token at a node.
 enum class take_result : std::uint8_t {
   taken,
-  /// No token is held. The caller may wait: the next tick requests tokens if no request is in
+  /// No token is held. The caller may wait: a later tick requests tokens if no request is in
   /// flight yet.
   pending,
   refused,
@@ -213,7 +214,7 @@
   node_buckets(settings options, std::uint64_t process);
 
   /// Ignores terms lower than the current one. A higher term drops all tokens held.
-  void set_coordinator(time_point now, const endpoint& address, term held);
+  void set_coordinator(time_point now, const endpoint& address, term new_term);
   /// Accounts in force with their fleet-wide limits; buckets of missing accounts are dropped.
   void set_accounts(const std::map<std::string, limit>& accounts);
 
@@ -227,7 +228,7 @@
   /// Requests for tokens that are due; called each tick and after a `pending` result.
   std::vector<wire::outgoing> tick(time_point now);
   /// Handles token grants.
-  void receive(time_point now, const wire::incoming& from);
+  void receive(time_point now, const wire::incoming& message);
   /// Estimated time until a refused caller may find a token; at most one minute.
   milliseconds retry_after(time_point now, const std::string& account) const;
   /// Unexpired tokens held, for checks and metrics.
@@ -239,14 +240,14 @@
     time_point expires;
     std::uint64_t stream = 0;
   };
-  struct flight {
+  struct pending_request {
     std::uint64_t sequence = 0;
     time_point first_sent;
     time_point last_sent;
     std::uint32_t wanted = 0;
   };
   struct bucket {
-    limit fleet;
+    limit fleet_limit;
     /// In order of expiry, because grants are accepted in the order of their requests.
     std::deque<lot> lots;
     /// Identifies a stream of grants with its own settled count. All grants of a stream except
@@ -254,37 +255,37 @@
     /// grant starts a new stream; tokens of the old stream are released when they expire.
     std::uint64_t stream = 0;
     std::uint64_t settled = 0;
-    std::uint64_t reported = 0;
+    std::uint64_t reported_settled = 0;
     std::uint32_t report_repeats = 0;
     std::uint32_t waiting = 0;
     /// Consecutive answers without tokens.
-    std::uint32_t denials = 0;
-    std::optional<flight> in_flight;
+    std::uint32_t consecutive_denials = 0;
+    std::optional<pending_request> in_flight;
     time_point last_sent;
     /// Tokens taken per second, averaged.
-    double use = 0;
-    std::uint32_t taken = 0;
+    double use_rate = 0;
+    std::uint32_t taken_since_update = 0;
     time_point last_taken;
-    time_point use_at;
+    time_point use_updated_at;
   };
 
   settings options_;
   std::uint64_t process_;
-  std::uint64_t streams_ = 0;
+  std::uint64_t stream_count_ = 0;
   std::uint64_t next_sequence_;
   endpoint coordinator_;
-  term held_;
+  term coordinator_term_;
   bool has_coordinator_ = false;
   std::unordered_map<std::string, bucket> buckets_;
 
-  static void expire(bucket& row, time_point now);
-  static void settle(bucket& row, const lot& from, std::uint32_t tokens);
-  void start_stream(bucket& row);
-  void adopt(const endpoint& address, term held, const bucket* keep_stream);
-  void send(const std::string& account, bucket& row, std::uint64_t sequence, std::uint32_t wanted,
-            time_point now, std::vector<wire::outgoing>& out) const;
-  void refresh(const std::string& account, bucket& row, time_point now,
-               std::vector<wire::outgoing>& out);
+  static void expire(bucket& target, time_point now);
+  static void settle(bucket& target, const lot& source, std::uint32_t tokens);
+  void start_stream(bucket& target);
+  void start_coordinator_term(const endpoint& address, term new_term, const bucket* keep_stream);
+  void send(const std::string& account, bucket& target, std::uint64_t sequence,
+            std::uint32_t wanted, time_point now, std::vector<wire::outgoing>& out) const;
+  void update(const std::string& account, bucket& target, time_point now,
+              std::vector<wire::outgoing>& out);
 };
 
 } // namespace damaskledge::shares
