--- a/source/sidecar/agent.cpp
+++ b/source/sidecar/agent.cpp
@@ -8,44 +8,47 @@
 
 namespace {
 
-/// Interval of the load messages between nodes: shares of accounts and load are this old at most.
+/// Interval of load messages between nodes; bounds the age of account shares and reported load.
 constexpr milliseconds load_interval = traffic::account_rates::report_interval;
-/// Pause between reports of the use of accounts that are sent before their time.
+/// Minimum interval between account usage reports that are sent ahead of the regular load message.
 constexpr milliseconds early_report_pause{50};
-/// Every n-th load message is a whole status; what it adds changes slowly.
+/// A full status accompanies every n-th load message; its additional fields change slowly.
 constexpr std::uint64_t status_every = 8;
-/// The call graph is worked out once in so many load messages; it costs about 1 ms.
-constexpr std::uint64_t learn_every = 4;
-/// The second relay of a data centre sends every n-th digest only. It stands in when the first is
-/// lost, and bytes between data centres are billed.
+/// The call graph is recomputed every n load intervals, since that takes about 1 ms.
+constexpr std::uint64_t call_ratios_every = 4;
+/// The standby relay of a data centre sends only every n-th digest: it is there for the failure of
+/// the first relay, and traffic between data centres is billed.
 constexpr std::uint64_t standby_every = 4;
-/// Demand is told again when a class has changed by this part, and by this much a second.
+/// Demand is sent again when a class has changed by more than this fraction of its rate and by more
+/// than this many requests per second.
 constexpr double demand_change = 0.2;
 constexpr double min_demand_change = 0.5;
-/// Interval at which time-outs of the target's queue and connections are checked.
+/// Interval at which timeouts of the target's queue and connections are checked.
 constexpr milliseconds check_interval{10};
-/// Calls of the target are counted in intervals of this many checks.
+/// Length, in checks, of the intervals in which calls of the target are counted.
 constexpr std::uint64_t observe_every = 5;
-/// Waits of the watches. Each call is billed. TCP keep-alive finds a silent connection within 2 s,
-/// and another node tells a newer version within one load interval.
+/// Long-poll durations of the store watches. They are long because each call is billed. TCP
+/// keep-alive detects a dead connection within 2 s, and other nodes announce a newer configuration
+/// version within one load interval.
 constexpr milliseconds configuration_wait{10'000};
 constexpr milliseconds node_wait{25'000};
 constexpr milliseconds store_timeout{1'500};
-/// A node that is silent for this long is taken as gone for good; its shares are free then.
+/// A node that is silent for longer than this is considered lost, and its shares are released.
 constexpr seconds forget_after{20};
-/// Two missed readiness questions, one second apart, take a VM out; callers may come until then.
+/// Two failed readiness probes, one second apart, take a VM out of rotation; new requests may
+/// arrive until then.
 constexpr milliseconds readiness_delay{2'500};
-/// Time kept of the grace for the last answers to leave.
+/// Part of the grace period that is reserved for sending the last answers.
 constexpr milliseconds shutdown_margin{600};
-/// Part of the fleet's retry budget that the nodes use together: requests are counted at other
-/// times than repeats, and nodes that are gone may have used theirs.
-constexpr double retry_part = 0.7;
-constexpr double retry_reserve_part = 0.5;
-/// A class's fraction is logged when it has changed by this much.
+/// Fractions of the fleet's retry budget that the nodes use in total. They are below 1 because
+/// requests are counted at other times than retries, and lost nodes may have used their part.
+constexpr double retry_ratio_fraction = 0.7;
+constexpr double retry_reserve_fraction = 0.5;
+/// Minimum change of a class's admitted fraction that is logged.
 constexpr double logged_fraction_change = 0.1;
 
-bool changed_much(const std::vector<traffic::class_demand>& before,
-                  const std::vector<traffic::class_demand>& now) {
+bool demand_changed(const std::vector<traffic::class_demand>& before,
+                    const std::vector<traffic::class_demand>& now) {
   if (before.size() != now.size()) {
     return true;
   }
@@ -99,7 +102,9 @@
             return fleet::configuration_frame{configuration_->version(), configuration_text_};
           },
           .on_configuration =
-              [this](const fleet::configuration_frame& frame) { adopt(frame.text, "node"); },
+              [this](const fleet::configuration_frame& frame) {
+                apply_configuration(frame.text, "node");
+              },
           .on_link =
               [this](const fleet::node_entry& node, bool connected) {
                 log_.state(log_line(connected ? "node_connected" : "node_lost")
@@ -145,7 +150,7 @@
           .on_object =
               [this](const adapter::stored_object& object) {
                 if (object.name == adapter::configuration_name) {
-                  adopt(object.content, "store");
+                  apply_configuration(object.content, "store");
                 }
               },
           .on_removed = [](const std::string&) {},
@@ -188,8 +193,8 @@
                  .field("incarnation", static_cast<std::int64_t>(incarnation_ >> 1U)));
   configuration_mirror_->start();
   node_mirror_->start();
-  fast_tick();
-  slow_tick();
+  run_checks();
+  end_load_interval();
   return {};
 }
 
@@ -239,7 +244,7 @@
   reply(*announcements_, from, 200, "{}", "application/json");
 }
 
-void agent::adopt(const std::string& text, const std::string& source) {
+void agent::apply_configuration(const std::string& text, const std::string& source) {
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
         BOOST_LEAF_AUTO(value, adapter::parse_configuration(text));
@@ -273,10 +278,10 @@
   if (service == nullptr || target_->announced_once() || health_.busy()) {
     return;
   }
-  http::request question;
-  question.method = "GET";
-  question.target = service->health_path;
-  health_.call(std::move(question), store_timeout, [this](const store_answer& answer) {
+  http::request probe;
+  probe.method = "GET";
+  probe.target = service->health_path;
+  health_.call(std::move(probe), store_timeout, [this](const store_answer& answer) {
     if (answer.status == 200 && !answer.instance.empty()) {
       target_->identified(answer.instance);
     }
@@ -312,7 +317,7 @@
     counters_.store_call("written");
     log_.state(log_line("node_registered").field("status", answer.status));
     if (answer.status == 200 || answer.status == 201 || answer.status == 409) {
-      // The mirror brings the object as it is now, also after a conflict.
+      // The mirror delivers the current object, also after a conflict.
       return;
     }
     constexpr milliseconds pause{700};
@@ -376,19 +381,19 @@
 void agent::on_status(const fleet::status_frame& status) {
   rates_.heard(loop_.now(), status.node, status.incarnation, status.accounts,
                status.whole_usage ? traffic::usage_scope::whole : traffic::usage_scope::changes);
-  learn_version(status.node, status.configuration_version);
+  request_newer_configuration(status.node, status.configuration_version);
 }
 
 void agent::on_load(const fleet::node_entry& node, const fleet::load_frame& load, bool near) {
   rates_.heard(loop_.now(), node.name, node.status.incarnation, load.accounts,
                traffic::usage_scope::changes);
   if (near) {
-    fleet::merge_load(near_loads_[node.name], {node.name, node.status.incarnation, load});
+    fleet::merge_load(local_loads_[node.name], {node.name, node.status.incarnation, load});
   }
-  learn_version(node.name, load.configuration_version);
+  request_newer_configuration(node.name, load.configuration_version);
 }
 
-void agent::learn_version(const std::string& node, std::uint64_t version) {
+void agent::request_newer_configuration(const std::string& node, std::uint64_t version) {
   const std::uint64_t known = configuration_ ? configuration_->version() : 0;
   if (version > known) {
     nodes_->send(node, fleet::configuration_request{known});
@@ -424,9 +429,9 @@
   load.in_flight = target.in_flight;
   load.queued = target.queued;
   load.accounts = rates_.changed(loop_.now());
-  if (changed_much(told_demand_, own_demand_)) {
+  if (demand_changed(sent_demand_, own_demand_)) {
     load.demand = own_demand_;
-    told_demand_ = own_demand_;
+    sent_demand_ = own_demand_;
   }
   return load;
 }
@@ -436,7 +441,7 @@
   if (rank && *rank > 0 && intervals_ % standby_every != 0) {
     return;
   }
-  const auto loads = std::exchange(near_loads_, {});
+  const auto loads = std::exchange(local_loads_, {});
   if (!rank) {
     return;
   }
@@ -507,9 +512,9 @@
 
 void agent::set_retry_budget() {
   traffic::retry_budget::options options;
-  options.ratio = settings_.retry_ratio * retry_part;
+  options.ratio = settings_.retry_ratio * retry_ratio_fraction;
   options.reserve =
-      settings_.retry_reserve * retry_reserve_part / static_cast<double>(nodes_present_);
+      settings_.retry_reserve * retry_reserve_fraction / static_cast<double>(nodes_present_);
   options.window = settings_.retry_window;
   budget_.set_options(options);
 }
@@ -539,30 +544,30 @@
   }
 }
 
-void agent::fast_tick() {
+void agent::run_checks() {
   target_->tick();
   if (++ticks_ % observe_every == 0) {
     target_->observer().end_interval(loop_.now());
   }
-  if (rates_.report_due() && loop_.now() - usage_told_ >= early_report_pause) {
-    // Relays would pass it on too late.
-    usage_told_ = loop_.now();
+  if (rates_.report_due() && loop_.now() - usage_sent_at_ >= early_report_pause) {
+    // Sent to every node directly, since relays would forward it too late.
+    usage_sent_at_ = loop_.now();
     nodes_->broadcast(make_load());
   }
   log_.flush();
   if (leaving_) {
     check_shutdown();
   }
-  loop_.after(check_interval, [this] { fast_tick(); });
+  loop_.after(check_interval, [this] { run_checks(); });
 }
 
-void agent::slow_tick() {
+void agent::end_load_interval() {
   own_demand_ = demand_.end_interval(load_interval);
   const bool with_status = ++intervals_ % status_every == 0;
-  if (intervals_ % learn_every == 0) {
+  if (intervals_ % call_ratios_every == 0) {
     own_calls_ = target_->observer().ratios();
   }
-  usage_told_ = loop_.now();
+  usage_sent_at_ = loop_.now();
   const auto load = make_load();
   nodes_->broadcast_near(load);
   if (with_status) {
@@ -572,7 +577,7 @@
   send_crash_report();
   plan_admission();
   forget_lost_nodes();
-  loop_.after(load_interval, [this] { slow_tick(); });
+  loop_.after(load_interval, [this] { end_load_interval(); });
 }
 
 void agent::shut_down() {
@@ -590,7 +595,7 @@
 void agent::check_shutdown() {
   const duration elapsed = loop_.now() - leaving_since_;
   if (elapsed > settings_.grace / 2) {
-    // A request that came later could still be under way at the end of the grace.
+    // A request accepted from now on could still be in flight at the end of the grace period.
     router_->refuse_new_requests();
   }
   const bool idle = router_->in_flight() == 0 && target_->in_flight() == 0;
--- a/source/sidecar/agent.h
+++ b/source/sidecar/agent.h
@@ -1,5 +1,5 @@
 /// @file
-/// Composition of one node: its parts, the interfaces it serves and its periodic work.
+/// Top-level object of a node: owns its components, serves its interfaces and runs periodic work.
 #pragma once
 
 #include <memory>
@@ -25,9 +25,10 @@
   agent& operator=(const agent&) = delete;
 
   leaf::result<void> start();
-  /// Begins an orderly shutdown; the loop stops when it is done.
+  /// Starts a graceful shutdown; stops the event loop once it is complete.
   void shut_down();
-  /// Puts changed settings in force, but for addresses and names.
+  /// Applies a changed grace period and retry settings. Other settings, such as addresses and
+  /// names, take effect only after a restart.
   void reload(const settings& values);
   event_log& log() { return log_; }
 
@@ -38,11 +39,11 @@
   void on_status(const fleet::status_frame& status);
   void on_load(const fleet::node_entry& node, const fleet::load_frame& load, bool near);
   void relay_states(const fleet::load_frame& own, bool with_statuses);
-  void learn_version(const std::string& node, std::uint64_t version);
+  void request_newer_configuration(const std::string& node, std::uint64_t version);
   void on_announcement(connection_id from, http::request& message);
   void on_ready(connection_id from);
   void on_metrics(connection_id from);
-  void adopt(const std::string& text, const std::string& source);
+  void apply_configuration(const std::string& text, const std::string& source);
   void on_node_object(const adapter::stored_object& object);
   void register_node();
   void identify_target();
@@ -54,8 +55,8 @@
   void forget_lost_nodes();
   void set_retry_budget();
   void log_admission(const traffic::admission_plan& plan);
-  void fast_tick();
-  void slow_tick();
+  void run_checks();
+  void end_load_interval();
   void check_shutdown();
   void reply(http_service& service, connection_id to, int status, const std::string& body,
              const std::string& type);
@@ -68,14 +69,14 @@
   traffic::account_rates rates_;
   traffic::retry_budget budget_;
   traffic::entry_admission admission_;
-  /// Fractions as they were last logged.
+  /// Last logged admitted fraction of each class.
   traffic::admission_plan logged_fractions_;
   traffic::demand_meter demand_;
   admission::crash_table crashes_;
   std::vector<traffic::class_demand> own_demand_;
   std::vector<traffic::call_ratio> own_calls_;
-  /// Demand as it was last told to the others.
-  std::vector<traffic::class_demand> told_demand_;
+  /// Demand that was last sent to other nodes.
+  std::vector<traffic::class_demand> sent_demand_;
   std::unique_ptr<fleet::network> nodes_;
   std::unique_ptr<upstream_executor> target_;
   std::unique_ptr<http_service> callers_;
@@ -88,17 +89,17 @@
   store_channel writer_;
   store_channel health_;
   std::shared_ptr<const traffic::configuration> configuration_;
-  /// The configuration in force as the operator wrote it, for nodes that cannot reach the store.
+  /// Source text of the configuration in force, sent to nodes that cannot reach the store.
   std::string configuration_text_;
-  /// Own object as the store has it, and its revision.
+  /// This node's object in the store, with its revision.
   std::optional<adapter::stored_object> own_object_;
-  /// Calls of other nodes under way, by connection and the id there.
+  /// In-flight calls from other nodes, by connection and call id on that connection.
   std::map<std::pair<std::uint64_t, std::uint64_t>, upstream_executor::call_id> peer_calls_;
-  time_point usage_told_{};
+  time_point usage_sent_at_{};
   std::uint64_t ticks_ = 0;
   std::uint64_t intervals_ = 0;
-  /// Loads of this data centre's nodes since the last digest.
-  std::map<std::string, fleet::node_load> near_loads_;
+  /// Loads received from nodes of this data centre since the last digest.
+  std::map<std::string, fleet::node_load> local_loads_;
   std::size_t nodes_present_ = 1;
   time_point started_;
   bool leaving_ = false;
