--- a/source/sidecar/router.cpp
+++ b/source/sidecar/router.cpp
@@ -12,23 +12,23 @@
 using fleet::answer_frame;
 using fleet::call_result;
 
-/// Wait told to a caller when nothing better is known.
-constexpr milliseconds usual_retry_after{300};
-/// Wait told when the node knows no configuration yet, or when it is about to end.
+/// Default Retry-After value.
+constexpr milliseconds default_retry_after{300};
+/// Retry-After value while the node has no configuration yet or is shutting down.
 constexpr milliseconds startup_retry_after{200};
-/// Wait told when admission at the entry refuses: overload lasts longer than a queue.
+/// Retry-After value when entry admission refuses: overload lasts longer than a full queue.
 constexpr milliseconds overload_retry_after{800};
-/// Wait told to a caller whose request has crashed several targets.
+/// Retry-After value for a request that has crashed several targets.
 constexpr milliseconds crash_retry_after{10'000};
-/// A refused request counts as returning when it comes again within this time: the longest wait
-/// told, and as much for the way.
-constexpr milliseconds return_window{2'000};
-/// Refused requests remembered at most; beyond it all are forgotten.
+/// A refused request that arrives again within this time counts as a retry by the caller. The time
+/// covers the overload Retry-After value and as much again for the transfer.
+constexpr milliseconds caller_retry_window{2'000};
+/// Maximum number of refused requests remembered; all are discarded when it is reached.
 constexpr std::size_t max_refused = 4'096;
-/// A request is not sent again with less time than this left.
-constexpr milliseconds min_time_to_repeat{20};
+/// A request is not retried with less than this time left before its deadline.
+constexpr milliseconds min_time_to_retry{20};
 
-std::string fraction_of_seconds(milliseconds value) {
+std::string format_seconds(milliseconds value) {
   char text[32];
   std::snprintf(text, sizeof(text), "%.3f", static_cast<double>(value.count()) / 1'000);
   return text;
@@ -46,7 +46,7 @@
 
 struct router::exchange {
   connection_id caller = 0;
-  /// Keeps the route alive when a newer configuration comes.
+  /// Owns the route and the account; keeps them alive when a newer configuration is applied.
   std::shared_ptr<const traffic::configuration> configuration;
   const traffic::route* route = nullptr;
   const traffic::account* account = nullptr;
@@ -56,18 +56,18 @@
   std::string head;
   std::string body;
   unsigned priority = 0;
-  /// Made by the target of this VM while it ran a request.
+  /// The request is a call that the target of this VM made while it ran another request.
   bool inner = false;
   id128 fingerprint;
   time_point arrived{};
-  /// The caller is answered by this time: its deadline or the route's timeout.
+  /// Time limit for the answer: the caller's deadline or the route's timeout, whichever is earlier.
   time_point answer_by{};
   event::timer_id timer = 0;
   std::set<std::string> tried;
-  /// Targets at which it may have run.
+  /// Number of targets at which the request may have run.
   unsigned runs = 0;
   bool reached_target = false;
-  /// Node of the call under way; empty for the target of this VM.
+  /// Node of the latest call; empty for the target of this VM.
   std::string node;
   std::uint64_t call = 0;
   bool under_way = false;
@@ -166,8 +166,8 @@
   }
   const traffic::request_class kind{it.route->name, it.priority, it.route->priority};
   demand_.count(kind, it.service);
-  if (!admission_.admit(kind, returns(it.fingerprint))) {
-    refused_[it.fingerprint] = loop_.now() + return_window;
+  if (!admission_.admit(kind, is_caller_retry(it.fingerprint))) {
+    refused_[it.fingerprint] = loop_.now() + caller_retry_window;
     if (it.account != nullptr) {
       rates_.give_back(it.account->name);
     }
@@ -177,7 +177,7 @@
   return true;
 }
 
-bool router::returns(const id128& fingerprint) {
+bool router::is_caller_retry(const id128& fingerprint) {
   if (refused_.size() >= max_refused) {
     refused_.clear();
   }
@@ -218,7 +218,7 @@
     if (it.tried.count(node) != 0 || !status.ready || status.service != it.service) {
       return;
     }
-    // Ties are spread by a small term that differs from request to request.
+    // Breaks ties by a small term that differs from request to request.
     const double spread = 0.02 * static_cast<double>((choices_ * 7 + hash64(node)) % 16) / 16;
     const double load =
         (status.in_flight + status.queued + unreported) / std::max(1U, status.slots) + penalty +
@@ -245,7 +245,7 @@
   const connection_id caller = it.caller;
   if (!chosen) {
     const bool tried = !it.tried.empty();
-    refuse(it, 503, tried ? "all targets refused" : "no target", usual_retry_after);
+    refuse(it, 503, tried ? "all targets refused" : "no target", default_retry_after);
     return;
   }
   budget_.requested(loop_.now(), it.service);
@@ -265,7 +265,7 @@
     call.idempotent = it.route->idempotent;
     call.inner = it.inner;
     call.fingerprint = it.fingerprint;
-    // The answer may come before the call returns, which ends the exchange.
+    // The target may answer before submit() returns, which ends the exchange.
     const auto id = target_.submit(std::move(call), done);
     if (const auto found = exchanges_.find(caller);
         found != exchanges_.end() && found->second->under_way && found->second->node.empty()) {
@@ -310,25 +310,25 @@
     finish(caller);
     return;
   }
-  if (repeat(it, answer)) {
+  if (retry(it, answer)) {
     return;
   }
   if (result == call_result::not_run && it.runs == 0) {
     refuse(it, 503, answer.reason,
-           std::max(usual_retry_after, milliseconds(answer.retry_after_ms)));
+           std::max(default_retry_after, milliseconds(answer.retry_after_ms)));
   } else {
     refuse(it, 502, answer.reason, milliseconds(0));
   }
 }
 
-bool router::repeat(exchange& it, const answer_frame& answer) {
+bool router::retry(exchange& it, const answer_frame& answer) {
   const bool not_run = static_cast<call_result>(answer.result) == call_result::not_run;
   if (!not_run) {
     ++it.runs;
   }
   const bool may_run_again = it.runs == 0 || it.route->idempotent;
   if (!may_run_again || it.runs >= std::max(1U, it.route->max_attempts) ||
-      it.tried.size() >= options_.max_nodes || it.answer_by - loop_.now() < min_time_to_repeat ||
+      it.tried.size() >= options_.max_nodes || it.answer_by - loop_.now() < min_time_to_retry ||
       !choose(it)) {
     return false;
   }
@@ -402,7 +402,7 @@
     answer.fields.add(std::string(adapter::header::request_id), it.request_id);
   }
   if (retry_after > milliseconds(0)) {
-    answer.fields.add(std::string(adapter::header::retry_after), fraction_of_seconds(retry_after));
+    answer.fields.add(std::string(adapter::header::retry_after), format_seconds(retry_after));
   }
   callers_.respond(caller, http::serialize_head(answer), "");
   finish(caller);
@@ -414,7 +414,7 @@
     return;
   }
   loop_.cancel(found->second->timer);
-  // Callers of this function still refer to the exchange.
+  // Destruction is deferred because callers of this function still hold references to the exchange.
   loop_.defer([old = std::shared_ptr<exchange>(std::move(found->second))] {});
   exchanges_.erase(found);
 }
--- a/source/sidecar/router.h
+++ b/source/sidecar/router.h
@@ -1,6 +1,6 @@
 /// @file
-/// Requests that begin on this VM: authentication, account rates, admission at the entry, choice of
-/// a target's node, repeats and the final answer.
+/// Routing of requests that arrive at this VM: authentication, account rates, entry admission,
+/// selection of the node that runs the request, retries and the final answer.
 #pragma once
 
 #include <cstdint>
@@ -22,10 +22,10 @@
   /// Service of the target on this VM.
   std::string service;
   std::string data_centre;
-  /// Load difference, in parts of a target's slots, at which a request leaves its data centre.
-  /// Bytes between data centres are billed.
+  /// Load difference, as a fraction of a target's slots, above which a request is sent to another
+  /// data centre. Traffic between data centres is billed.
   double data_centre_preference = 0.3;
-  /// Nodes that are asked for one request.
+  /// Maximum number of nodes tried for one request.
   unsigned max_nodes = 3;
 };
 
@@ -42,7 +42,7 @@
   void set_configuration(std::shared_ptr<const traffic::configuration> value) {
     configuration_ = std::move(value);
   }
-  /// Refuses every request from now on; those under way go on.
+  /// Refuses all further requests; requests in flight continue.
   void refuse_new_requests() { closed_ = true; }
   void on_request(connection_id caller, http::request& message);
   void on_caller_gone(connection_id caller);
@@ -59,12 +59,12 @@
   bool authenticate(exchange& it, const http::request& message);
   bool read_deadline(exchange& it, const http::request& message);
   bool admit(exchange& it);
-  bool returns(const id128& fingerprint);
+  bool is_caller_retry(const id128& fingerprint);
   bool prepare(exchange& it, http::request& message);
   void dispatch(exchange& it);
   std::optional<candidate> choose(const exchange& it);
   void on_answer(connection_id caller, fleet::answer_frame answer);
-  bool repeat(exchange& it, const fleet::answer_frame& answer);
+  bool retry(exchange& it, const fleet::answer_frame& answer);
   void on_timeout(connection_id caller);
   void refuse(exchange& it, int status, const std::string& reason, milliseconds retry_after);
   void finish(connection_id caller);
@@ -86,7 +86,8 @@
   std::unordered_map<connection_id, std::unique_ptr<exchange>> exchanges_;
   bool closed_ = false;
   std::uint64_t choices_ = 0;
-  /// Requests that admission refused, until they no longer count as returning.
+  /// Fingerprints of requests that entry admission refused, with the time until which a repetition
+  /// counts as a retry by the caller.
   std::unordered_map<id128, time_point, id128_hash> refused_;
 };
 
