--- a/source/fleet/fleet.h
+++ b/source/fleet/fleet.h
@@ -2,8 +2,8 @@
 /// Messages between nodes, the links that carry them, and the directory of nodes.
 ///
 /// Each node keeps one TCP connection to every other node. It carries the calls that this node
-/// forwards, their answers, and this node's status. Frames are cereal's portable binary behind a
-/// length.
+/// forwards, their answers, and this node's status. A frame is a length prefix followed by a
+/// payload in cereal's portable binary format.
 #pragma once
 
 #include <cstdint>
@@ -24,26 +24,27 @@
 
 namespace damaskledge::fleet {
 
-/// A request on its way to the node of the target that is to run it.
+/// A request forwarded to the node whose target is to run it.
 struct call_frame {
   std::uint64_t id = 0;
-  /// CLOCK_BOOTTIME of the sender, in microseconds; shows delays on the link.
+  /// CLOCK_BOOTTIME of the sender, in microseconds; the receiver derives the link delay from it.
   std::int64_t sent_us = 0;
-  /// Time left when sent.
+  /// Time left until the deadline when the call was sent.
   std::uint32_t remaining_ms = 0;
   /// Latency objective of the route.
   std::uint32_t objective_ms = 0;
   std::uint32_t priority = 0;
   bool idempotent = false;
-  /// Made by a target while it ran a request.
+  /// The call was made by a target while it ran another request.
   bool inner = false;
   std::string request_id;
   std::string service;
   std::string route;
-  /// Identifies the request's contents; the same for each copy.
+  /// Fingerprint of the request's contents; the same for each copy of the request.
   std::uint64_t fingerprint_high = 0;
   std::uint64_t fingerprint_low = 0;
-  /// Start line and fields for the target, without its identity, the time left and the body length.
+  /// Start line and header fields for the target, without those for its identity, the time left
+  /// and the body length.
   std::string head;
   std::string body;
 
@@ -55,28 +56,30 @@
   }
 };
 
-/// What became of a call.
+/// Outcome of a call.
 enum class call_result : std::uint8_t {
   /// The target answered; head and body are its answer.
   answered,
   /// The target did not run the request and never will.
   not_run,
-  /// The request may have run and there is no whole answer.
+  /// The request may have run, but no complete answer arrived.
   unknown,
 };
 
+/// Outcome of a call and, if the target answered, its answer.
 struct answer_frame {
   std::uint64_t id = 0;
+  /// A `call_result`.
   std::uint8_t result = 0;
-  /// Reason of a call that was not answered.
+  /// Why the call was not answered.
   std::string reason;
-  /// The target was sent the request, whether it ran it or not.
+  /// The request was sent to the target, whether or not the target ran it.
   bool reached_target = false;
   std::uint32_t retry_after_ms = 0;
   std::uint32_t status = 0;
   std::string head;
   std::string body;
-  /// State of the target at this time.
+  /// Load of the target when the frame was sent.
   std::uint32_t in_flight = 0;
   std::uint32_t queued = 0;
 
@@ -88,7 +91,7 @@
   }
 };
 
-/// The caller has left; work on the call is to stop.
+/// Asks the receiver to stop work on a call whose caller has disconnected.
 struct cancel_frame {
   std::uint64_t id = 0;
 
@@ -99,11 +102,11 @@
   }
 };
 
-/// State of the target beside a node.
+/// State of the target that a node serves.
 struct target_status {
   std::string service;
   std::string instance;
-  /// Takes new requests.
+  /// The target accepts new requests.
   bool ready = false;
   std::uint32_t slots = 0;
   std::uint32_t in_flight = 0;
@@ -116,19 +119,19 @@
   }
 };
 
-/// What changes from moment to moment at a node; sent at a short interval.
+/// The frequently changing part of a node's state; sent at a short interval.
 struct load_frame {
   std::uint64_t configuration_version = 0;
   /// The node is shutting down.
   bool leaving = false;
-  /// The target takes new requests.
+  /// The target accepts new requests.
   bool ready = false;
   std::uint32_t slots = 0;
   std::uint32_t in_flight = 0;
   std::uint32_t queued = 0;
-  /// Accounts whose use has changed.
+  /// Accounts whose usage has changed.
   std::vector<traffic::account_usage> accounts;
-  /// Offered requests; empty when they have hardly changed.
+  /// Offered requests; empty when they have changed little.
   std::vector<traffic::class_demand> demand;
 
   bool operator==(const load_frame&) const = default;
@@ -138,19 +141,19 @@
   }
 };
 
-/// Whole state of one node; sent when a link opens, on changes of its target, and at a long
+/// Complete state of one node; sent when a link opens, when its target changes, and at a long
 /// interval.
 struct status_frame {
   std::string node;
   std::string data_centre;
   endpoint address;
-  /// New for each start of the node.
+  /// Differs for each start of the node.
   std::uint64_t incarnation = 0;
   std::uint64_t configuration_version = 0;
   /// The node is shutting down.
   bool leaving = false;
   target_status target;
-  /// `accounts` holds the use of every account. Set when a link opens.
+  /// `accounts` holds the usage of every account. Set when a link opens.
   bool whole_usage = false;
   std::vector<traffic::account_usage> accounts;
   std::vector<traffic::class_demand> demand;
@@ -165,7 +168,7 @@
   }
 };
 
-/// Load of one node, passed on by another.
+/// Load of one node, relayed by another.
 struct node_load {
   std::string node;
   std::uint64_t incarnation = 0;
@@ -178,14 +181,15 @@
   }
 };
 
-/// Adds a newer load of a node to what a relay has not passed on yet. Uses of accounts that the
-/// newer one leaves out are kept, unless it is of another start, whose counts begin anew.
+/// Replaces a load that a relay has not sent yet by a newer one of the same node. Keeps the usage
+/// of accounts that the newer one omits, unless its incarnation differs: counts restart from zero
+/// with each start of a node.
 void merge_load(node_load& pending, node_load next);
 
-/// States of the nodes of one data centre, for another one. Links between data centres are billed
-/// by the byte, so a few nodes pass on the states of all.
+/// States of the nodes of one data centre, sent to another. Traffic between data centres is billed
+/// by the byte, so a few nodes relay the states of all.
 struct digest_frame {
-  /// The receiver passes the digest on to the nodes of its data centre.
+  /// The receiver must forward the digest to the nodes of its data centre.
   bool pass_on = false;
   std::vector<node_load> loads;
   std::vector<status_frame> statuses;
@@ -197,7 +201,7 @@
   }
 };
 
-/// Asks for the configuration in force at the receiver.
+/// Asks the receiver for its current configuration.
 struct configuration_request {
   std::uint64_t known_version = 0;
 
@@ -224,34 +228,35 @@
     std::variant<call_frame, answer_frame, cancel_frame, status_frame, load_frame,
                  configuration_request, configuration_frame, admission::crash_report, digest_frame>;
 
-/// Bytes before a frame's payload: its length, big-endian.
+/// Size of the payload length, big-endian, that precedes each payload.
 constexpr std::size_t frame_header_bytes = 4;
-/// Frames above this size end the connection. A configuration is bounded by the store's 1 MB; a
-/// request body by the caller limits.
+/// A frame with a larger payload closes the connection. The store limits a configuration to 1 MB;
+/// the caller limits bound a request body.
 constexpr std::size_t max_frame_bytes = 80UL * 1024UL * 1024UL;
 
-/// @return the frame with its length before it.
+/// @return the serialised frame, preceded by its length.
 std::string encode(const frame& value);
-/// Result of looking for a frame in received bytes.
+/// Result of `decode`; without a value and not malformed when the frame is incomplete.
 struct decoded {
   std::optional<frame> value;
-  /// The bytes are no frame; the connection must be closed.
+  /// The bytes are not a valid frame; the caller must close the connection.
   bool malformed = false;
 };
-/// Removes one frame from `input`, when it is whole.
+/// Decodes the first frame of `input` and removes it, once it has arrived completely.
 decoded decode(std::string& input);
 
-/// What is known of another node.
+/// Directory entry of another node.
 struct node_entry {
   std::string name;
   std::string data_centre;
   endpoint address;
-  /// Last status; its node name is empty before the first.
+  /// Last status, updated by later loads; its node name is empty until the first status arrives.
   status_frame status;
+  /// When the last status or load of the node arrived.
   time_point heard{};
-  /// Calls of this node that are unanswered there.
+  /// Calls sent to the node that are still unanswered.
   std::uint32_t outstanding = 0;
-  /// Calls sent since the node last told its load.
+  /// Calls sent since the node last reported its load.
   std::uint32_t sent_since_report = 0;
   bool connected = false;
 };
@@ -259,36 +264,38 @@
 struct network_options {
   std::string node;
   std::string data_centre;
-  /// Where the others reach this node.
+  /// Address at which other nodes reach this node.
   endpoint address;
-  /// Where it listens; port 0 for the same.
+  /// Address to listen on; with port 0, `address` is used.
   endpoint listen_address;
   /// A peer whose state is older than this gets no calls: three intervals of its load messages.
   milliseconds silence_limit{1'000};
-  /// The same for peers of other data centres, whose state may lose a relay for about a second.
+  /// The same for peers in other data centres, whose state may stop arriving for about a second
+  /// when a relay is lost.
   milliseconds far_silence_limit{3'000};
-  /// Unacknowledged data for this long ends a link.
+  /// A link whose data stays unacknowledged for this long is closed; also bounds a connection
+  /// attempt.
   milliseconds link_timeout{1'000};
-  /// Pause before a link that failed is opened again.
+  /// Delay before a failed link is reopened.
   milliseconds reconnect_pause{300};
 };
 
-/// Receives what arrives from other nodes.
+/// Callbacks for frames from other nodes and for changes of links.
 struct network_events {
   /// A call for the target of this node. Answer it with `network::answer`.
   std::function<void(std::uint64_t connection, call_frame call)> on_call;
   std::function<void(std::uint64_t connection, std::uint64_t call)> on_cancel;
-  /// The connection is gone; nobody waits for its calls any more.
+  /// The connection was closed; its calls need no answer any more.
   std::function<void(std::uint64_t connection)> on_caller_gone;
   std::function<void(const status_frame&)> on_status;
-  /// The entry has the new load already.
-  /// @param near it came from the node itself, which is in this data centre.
+  /// Called after the entry has been updated with the new load.
+  /// @param near the node is in this data centre, so its load came from the node itself.
   std::function<void(const node_entry&, const load_frame&, bool near)> on_load;
   std::function<void(const admission::crash_report&)> on_crash_report;
-  /// @return the text of the configuration in force, if it is newer than the given version.
+  /// @return the current configuration, if it is newer than the given version.
   std::function<std::optional<configuration_frame>(std::uint64_t known)> on_configuration_request;
   std::function<void(const configuration_frame&)> on_configuration;
-  /// A link to a node was lost or regained.
+  /// The link to a node was lost or established.
   std::function<void(const node_entry&, bool connected)> on_link;
 };
 
@@ -302,28 +309,28 @@
   network(const network&) = delete;
   network& operator=(const network&) = delete;
 
-  /// Starts to accept links from other nodes.
+  /// Starts accepting links from other nodes.
   leaf::result<void> listen();
 
   /// Adds a node or changes its address.
   void add_node(const std::string& name, const std::string& data_centre, const endpoint& address);
   void remove_node(const std::string& name);
 
-  /// Sends a call. The completion comes exactly once, also when the link breaks (unknown), unless
-  /// the call is cancelled.
-  /// @return the call's id at the node, or nothing when there is no link; nothing was sent then.
+  /// Sends a call. Runs the completion exactly once, with `call_result::unknown` if the link
+  /// breaks, unless the call is cancelled.
+  /// @return the id of the call, or nothing if there is no link; nothing was sent then.
   std::optional<std::uint64_t> call(const std::string& node, call_frame value, completion done);
-  /// The caller has left; the completion will not come.
+  /// Cancels a call whose caller has disconnected; its completion will not run.
   void cancel(const std::string& node, std::uint64_t id);
-  /// Answers a call that arrived; ignored when its connection is gone.
+  /// Answers a received call; does nothing if its connection was closed.
   void answer(std::uint64_t connection, const answer_frame& value);
   /// Sends a frame to every connected node of this data centre.
   void broadcast_near(const frame& value);
-  /// Sends a digest to one node of each other data centre, which passes it on.
-  /// @param rank 0 for the first relay of this data centre, 1 for the second; each uses another
-  /// node of the other data centre, so that one lost node does not stop the states of all.
+  /// Sends a digest to one node of each other data centre, which forwards it to the others there.
+  /// @param rank 0 for the first relay of this data centre, 1 for the second. Each chooses a
+  /// different receiver, so that the loss of one node does not stop the states of all.
   void send_digest(digest_frame digest, std::size_t rank);
-  /// @return this node's place among the relays of its data centre, or nothing when it is none.
+  /// @return this node's rank among the relays of its data centre, or nothing if it isn't a relay.
   std::optional<std::size_t> relay_rank() const;
   /// Sends a frame to every node that is connected.
   void broadcast(const frame& value);
@@ -331,7 +338,7 @@
   void send(const std::string& node, const frame& value);
 
   const std::map<std::string, node_entry>& nodes() const { return nodes_; }
-  /// @return true when calls to the node are likely to arrive.
+  /// @return true if the node is connected and its state is recent enough to send it calls.
   bool reachable(const node_entry& node) const;
 
  private:
@@ -343,14 +350,15 @@
   void on_outbound_data(const std::string& name);
   void accept(int fd);
   void on_inbound_data(std::uint64_t id);
-  void drop_inbound(std::uint64_t id);
+  void close_inbound(std::uint64_t id);
   void handle(inbound_link& link, frame value);
   void handle_status(inbound_link& link, const status_frame& status);
   void handle_load(const std::string& name, const load_frame& load);
   void handle_digest(digest_frame digest);
   void store_status(const status_frame& status);
-  /// @return false for a status or load of a start of the node that its own link contradicts.
-  bool plausible(const std::string& node, std::uint64_t incarnation) const;
+  /// @return false if the node's newest direct link reported a different incarnation. Rejects
+  /// states of an earlier start of the node that older links or relays still deliver.
+  bool is_current_incarnation(const std::string& node, std::uint64_t incarnation) const;
 
   event::loop& loop_;
   network_options options_;
@@ -359,7 +367,8 @@
   std::map<std::string, node_entry> nodes_;
   std::map<std::string, std::unique_ptr<outbound_link>> outbound_;
   std::unordered_map<std::uint64_t, std::unique_ptr<inbound_link>> inbound_;
-  /// Newest open link from each node. What it tells goes before what relays still pass on.
+  /// Newest open link from each node. Its incarnation takes precedence over those that relays
+  /// still send.
   std::map<std::string, std::uint64_t> newest_inbound_;
   std::uint64_t next_connection_ = 1;
   std::uint64_t next_call_ = 1;
--- a/source/fleet/frames.cpp
+++ b/source/fleet/frames.cpp
@@ -54,16 +54,16 @@
 }
 
 void merge_load(node_load& pending, node_load next) {
-  const node_load before = std::exchange(pending, std::move(next));
-  if (before.incarnation != pending.incarnation) {
+  const node_load previous = std::exchange(pending, std::move(next));
+  if (previous.incarnation != pending.incarnation) {
     return;
   }
   auto& load = pending.load;
   if (load.demand.empty()) {
-    load.demand = before.load.demand;
+    load.demand = previous.load.demand;
   }
-  // Uses are totals, so the newest of an account replaces an older one.
-  for (const auto& it : before.load.accounts) {
+  // Usage is a running total, so the newer value for an account replaces the older one.
+  for (const auto& it : previous.load.accounts) {
     const bool newer = std::any_of(load.accounts.begin(), load.accounts.end(),
                                    [&](const auto& other) { return other.account == it.account; });
     if (!newer) {
--- a/source/fleet/network.cpp
+++ b/source/fleet/network.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Nodes of a data centre that tell its states to the others.
-constexpr std::size_t relays = 2;
+/// Number of nodes in a data centre that send its states to other data centres.
+constexpr std::size_t relays_per_data_centre = 2;
 
 std::int64_t microseconds_of(time_point value) {
   return std::chrono::duration_cast<std::chrono::microseconds>(value.time_since_epoch()).count();
@@ -19,7 +19,8 @@
 /// This node's connection to another one.
 struct network::outbound_link {
   std::unique_ptr<event::stream> connection;
-  std::unordered_map<std::uint64_t, completion> waiting;
+  /// Completions of unanswered calls, by call id.
+  std::unordered_map<std::uint64_t, completion> pending_calls;
   event::timer_id reconnect = 0;
 };
 
@@ -28,11 +29,12 @@
   std::uint64_t id = 0;
   /// Name of the node at the other end; empty before its first status.
   std::string node;
-  /// Start of that node.
+  /// Incarnation that the node reported in its status.
   std::uint64_t incarnation = 0;
   std::unique_ptr<event::stream> connection;
-  /// Smallest difference seen between arrival and sending; a larger one is delay on the link.
-  std::int64_t least_offset_us = std::numeric_limits<std::int64_t>::max();
+  /// Smallest difference between receive and send time of a call so far. The clocks of two nodes
+  /// differ, so the excess over this minimum is taken as the delay on the link.
+  std::int64_t min_offset_us = std::numeric_limits<std::int64_t>::max();
 };
 
 network::network(event::loop& events, network_options options, network_events callbacks)
@@ -98,7 +100,8 @@
       .on_data = [this, name] { on_outbound_data(name); },
       .on_closed = [this, name](event::close_reason) { link_lost(name, "the connection ended"); },
   });
-  // A connection attempt to a VM that is off hangs; it is given up like an idle link.
+  // An attempt to connect to a VM that is off gets no reply, so it is abandoned after the same
+  // timeout as an established link.
   link->reconnect = loop_.after(options_.link_timeout, [this, name] {
     if (!nodes_.at(name).connected) {
       link_lost(name, "no connection in time");
@@ -110,7 +113,8 @@
   node_entry& node = nodes_.at(name);
   outbound_link& link = *outbound_.at(name);
   if (link.connection) {
-    // The reset discards what is still under way, so that no call arrives after it was given up.
+    // Resetting the connection discards unsent data, so that no call arrives after it was reported
+    // as lost.
     link.connection->close(true);
     loop_.defer([old = std::shared_ptr<event::stream>(std::move(link.connection))] {});
   }
@@ -119,12 +123,12 @@
   const bool was_connected = node.connected;
   node.connected = false;
   node.outstanding = 0;
-  auto waiting = std::move(link.waiting);
-  link.waiting.clear();
+  auto pending_calls = std::move(link.pending_calls);
+  link.pending_calls.clear();
   if (was_connected) {
     callbacks_.on_link(node, false);
   }
-  for (auto& [id, done] : waiting) {
+  for (auto& [id, done] : pending_calls) {
     answer_frame lost;
     lost.id = id;
     lost.result = static_cast<std::uint8_t>(call_result::unknown);
@@ -147,10 +151,10 @@
       return;
     }
     if (auto* answer = std::get_if<answer_frame>(&*next.value)) {
-      const auto found = link.waiting.find(answer->id);
-      if (found != link.waiting.end()) {
+      const auto found = link.pending_calls.find(answer->id);
+      if (found != link.pending_calls.end()) {
         auto done = std::move(found->second);
-        link.waiting.erase(found);
+        link.pending_calls.erase(found);
         node_entry& node = nodes_.at(name);
         node.outstanding -= std::min<std::uint32_t>(node.outstanding, 1);
         node.status.target.in_flight = answer->in_flight;
@@ -174,7 +178,7 @@
   outbound_link& link = *outbound_.at(node);
   value.id = next_call_++;
   value.sent_us = microseconds_of(loop_.now());
-  link.waiting.emplace(value.id, std::move(done));
+  link.pending_calls.emplace(value.id, std::move(done));
   ++entry->second.outstanding;
   ++entry->second.sent_since_report;
   const std::uint64_t id = value.id;
@@ -188,7 +192,7 @@
     return;
   }
   outbound_link& link = *outbound_.at(node);
-  if (link.waiting.erase(id) != 0) {
+  if (link.pending_calls.erase(id) != 0) {
     entry->second.outstanding -= std::min<std::uint32_t>(entry->second.outstanding, 1);
     if (link.connection) {
       link.connection->send(encode(cancel_frame{id}));
@@ -237,12 +241,12 @@
   link->connection->handle({
       .on_connected = {},
       .on_data = [this, id] { on_inbound_data(id); },
-      .on_closed = [this, id](event::close_reason) { drop_inbound(id); },
+      .on_closed = [this, id](event::close_reason) { close_inbound(id); },
   });
   inbound_.emplace(id, std::move(link));
 }
 
-void network::drop_inbound(std::uint64_t id) {
+void network::close_inbound(std::uint64_t id) {
   const auto found = inbound_.find(id);
   if (found == inbound_.end()) {
     return;
@@ -265,7 +269,7 @@
     }
     auto next = decode(found->second->connection->input());
     if (next.malformed) {
-      drop_inbound(id);
+      close_inbound(id);
       return;
     }
     if (!next.value) {
@@ -279,8 +283,8 @@
   const std::uint64_t id = link.id;
   if (auto* call = std::get_if<call_frame>(&value)) {
     const std::int64_t offset = microseconds_of(loop_.now()) - call->sent_us;
-    link.least_offset_us = std::min(link.least_offset_us, offset);
-    const auto delay_ms = static_cast<std::uint32_t>((offset - link.least_offset_us) / 1'000);
+    link.min_offset_us = std::min(link.min_offset_us, offset);
+    const auto delay_ms = static_cast<std::uint32_t>((offset - link.min_offset_us) / 1'000);
     call->remaining_ms -= std::min(call->remaining_ms, delay_ms);
     callbacks_.on_call(id, std::move(*call));
   } else if (const auto* cancelled = std::get_if<cancel_frame>(&value)) {
@@ -288,7 +292,7 @@
   } else if (const auto* status = std::get_if<status_frame>(&value)) {
     handle_status(link, *status);
   } else if (const auto* load = std::get_if<load_frame>(&value)) {
-    if (plausible(link.node, link.incarnation)) {
+    if (is_current_incarnation(link.node, link.incarnation)) {
       handle_load(link.node, *load);
     }
   } else if (auto* digest = std::get_if<digest_frame>(&value)) {
@@ -312,12 +316,12 @@
   link.incarnation = status.incarnation;
   auto& newest = newest_inbound_[status.node];
   newest = std::max(newest, link.id);
-  if (plausible(status.node, status.incarnation)) {
+  if (is_current_incarnation(status.node, status.incarnation)) {
     store_status(status);
   }
 }
 
-bool network::plausible(const std::string& node, std::uint64_t incarnation) const {
+bool network::is_current_incarnation(const std::string& node, std::uint64_t incarnation) const {
   const auto newest = newest_inbound_.find(node);
   if (newest == newest_inbound_.end()) {
     return true;
@@ -327,7 +331,7 @@
 }
 
 void network::store_status(const status_frame& status) {
-  // A node that was not found in the store yet makes itself known by its link.
+  // The status may be the first sign of a node that has not been read from the store yet.
   add_node(status.node, status.data_centre, status.address);
   const auto found = nodes_.find(status.node);
   if (found == nodes_.end()) {
@@ -362,13 +366,14 @@
 
 void network::handle_digest(digest_frame digest) {
   for (const auto& it : digest.statuses) {
-    if (it.node != options_.node && !it.node.empty() && plausible(it.node, it.incarnation)) {
+    if (it.node != options_.node && !it.node.empty() &&
+        is_current_incarnation(it.node, it.incarnation)) {
       store_status(it);
     }
   }
   for (const auto& it : digest.loads) {
     const auto found = nodes_.find(it.node);
-    // The load of another start than the one known belongs to a status that comes later.
+    // A load of another incarnation is ignored until the status of that incarnation has arrived.
     if (found != nodes_.end() && found->second.status.incarnation == it.incarnation) {
       handle_load(it.node, it.load);
     }
@@ -386,7 +391,7 @@
       ++rank;
     }
   }
-  return rank < relays ? std::optional(rank) : std::nullopt;
+  return rank < relays_per_data_centre ? std::optional(rank) : std::nullopt;
 }
 
 void network::broadcast_near(const frame& value) {
