--- a/source/membership/membership.h
+++ b/source/membership/membership.h
@@ -1,5 +1,5 @@
 /// @file
-/// SWIM membership: which nodes are alive, what they announce, and gossip that rides on
+/// SWIM membership: which nodes are alive, what they announce, and gossip piggybacked on
 /// probes. Source: Das, Gupta, Motivala, "SWIM" (2002); Dadgar et al., "Lifeguard" (2017).
 #pragma once
 
@@ -23,16 +23,16 @@
   std::uint32_t indirect_probes = 3;
   /// Probability that a probe stays within the data centre.
   double local_fraction = 0.75;
-  /// A change rides on this many messages times log2 of the number of members.
+  /// A change is piggybacked on this many messages times log2 of the number of members.
   std::uint32_t retransmit_factor = 3;
   /// Dead and left members are forgotten after this time.
   milliseconds forget_after{120'000};
-  /// Full state is asked from a random peer this often, so that lost changes are repaired.
+  /// Full state is requested from a random peer this often, to repair lost changes.
   /// The period grows with the table, so that synchronisation sends at most `sync_bytes_per_s`.
   milliseconds sync_period{30'000};
   std::uint32_t sync_bytes_per_s = 512;
   /// While replies bring changes, as at a start of all nodes or after a partition, full state is
-  /// asked again after this time and at this rate.
+  /// requested again after this time and at this rate.
   milliseconds repair_period{2'000};
   std::uint32_t repair_bytes_per_s = 8'192;
   /// New changes are pushed to `push_fanout` members at once, in batches this far apart.
@@ -45,7 +45,7 @@
   milliseconds remember_forgotten{21'600'000};
 };
 
-/// Facts of other libraries that ride on probes; filled by the node before each tick.
+/// Data of other libraries that is piggybacked on probes; filled by the node before each tick.
 struct carried_facts {
   std::vector<wire::document_version> highest;
   std::vector<wire::coordinator_record> coordinators;
@@ -64,8 +64,8 @@
   /// Handles probes, acknowledgements, indirect probes and state synchronisation.
   std::vector<wire::outgoing> receive(time_point now, const wire::incoming& from);
 
-  /// Changes what this node tells of itself; the incarnation rises and the change is
-  /// sent at once to a few members.
+  /// Changes the services and state that this node announces. Increments its incarnation and
+  /// sends the change at once to a few members.
   std::vector<wire::outgoing>
   update_self(time_point now, std::vector<wire::service_record> services, wire::member_state state);
   /// Documents in force ride on the node's own record without a new incarnation of peers' views
@@ -109,9 +109,9 @@
     time_point deadline = time_point::max();
     time_point heard_at = time_point::min();
     time_point solicited_at = time_point::min();
-    /// Messages on which the latest change has ridden to members of the own data centre [0] and of
-    /// others [1]; at the limit it rides on no more there. One count for both would be used up
-    /// within the data centre before a small one next to it has heard of the change.
+    /// Number of messages that carried the latest change to members of the own data centre [0] and
+    /// of others [1]; at the limit it is no longer sent there. A single count would be used up
+    /// within the data centre before a small neighbouring one received the change.
     std::array<std::uint32_t, 2> transmissions{};
     bool queued = false;
     bool push_pending = false;
@@ -172,7 +172,7 @@
   std::map<std::string, forgotten_member> forgotten_;
   std::map<std::uint64_t, pending_probe> probes_;
   std::map<std::uint64_t, relayed_probe> relays_;
-  /// Rows whose latest change still rides on messages.
+  /// Rows whose latest change is still being piggybacked on messages.
   std::vector<member_row*> queue_;
   carried_facts carried_;
   std::size_t carried_offset_ = 0;
