--- a/source/membership/member_table.cpp
+++ b/source/membership/member_table.cpp
@@ -10,12 +10,12 @@
 
 using wire::member_state;
 
-/// Bounds the table against a fault elsewhere; the design size is 820 members.
+/// Bounds memory if a fault elsewhere adds members; the design size is 820 members.
 constexpr std::size_t max_members = 16'384;
 constexpr std::size_t max_forgotten = 16'384;
 /// Above any wall-clock time in milliseconds; a higher value could not be refuted before it wraps.
 constexpr std::uint64_t max_incarnation = std::uint64_t{1} << 62U;
-/// Part of a datagram that facts of other libraries may take, so that member changes have room.
+/// Limit on the data of other libraries in a datagram, so that member changes have room.
 constexpr std::size_t carried_bytes = 480;
 /// A node that was paused doubles or triples its suspicion time until probes succeed again
 /// (Lifeguard's local health multiplier, reduced to pauses).
@@ -24,7 +24,7 @@
 /// Leaves room for the frame header, the sender and an own record of usual size.
 constexpr std::size_t max_gossiped_record_bytes = 800;
 constexpr milliseconds join_period{1'000};
-/// A reply larger than this is cut; the datagram gossip brings the rest.
+/// A reply larger than this is truncated; datagram gossip delivers the rest.
 constexpr std::size_t max_sync_bytes = wire::max_frame_bytes / 2;
 
 /// At equal incarnations the state of higher precedence replaces the other.
@@ -101,7 +101,7 @@
 void member_table::note_change(member_row& row) {
   row.bytes = wire::element_bytes(row.record);
   row.transmissions = {};
-  // A record that fits in no datagram spreads by synchronisation alone.
+  // A record too large for a datagram is propagated by synchronisation only.
   if (row.bytes <= max_gossiped_record_bytes || row.record.name == self_.name) {
     row.push_pending = true;
     if (!std::exchange(row.queued, true)) {
@@ -183,8 +183,8 @@
         if (!direct || !alive_state(record.state)) {
           return;
         }
-        // The member itself speaks under an incarnation that was declared dead: the row makes
-        // the next message to it say so, and it refutes.
+        // The member itself sent this with an incarnation that was forgotten as dead or left. The
+        // next gossip to it includes this row, so that it can refute the state.
         state = known->second.state;
       }
       forgotten_.erase(known);
@@ -193,7 +193,7 @@
     row.record = record;
     set_state(now, row, state);
     if (!alive_state(state)) {
-      // Kept only to recognise old gossip; the news of the death has spread already.
+      // Kept only to recognise old gossip; the death has already been propagated.
       leave_queue(row);
     }
     return;
@@ -232,7 +232,7 @@
   const auto previous = std::exchange(last_tick_, now);
   if (!previous) {
     next_reconnect_ = now + options_.reconnect_period;
-    // Nodes that start together must not probe in step.
+    // A random offset keeps nodes that start together from probing at the same time.
     next_probe_ =
         now + milliseconds(random_() % static_cast<std::uint64_t>(options_.probe_period.count()));
     return;
@@ -342,7 +342,7 @@
       options_.retransmit_factor *
       static_cast<std::uint32_t>(std::ceil(std::log2(static_cast<double>(rows_.size()) + 1)));
   std::erase_if(queue_, [&](member_row* row) {
-    // The own record rides on every probe and needs no place in the queue after its push.
+    // The own record is part of every probe and is not queued after its push.
     const auto& counts = row->transmissions;
     const bool spread = (counts[0] >= limit || local_peers_.empty()) &&
                         (counts[1] >= limit || remote_peers_.empty());
@@ -387,7 +387,7 @@
     }
   };
   add_row(rows_.at(self_.name));
-  // A suspected or dead member that is heard from must learn of it before all else.
+  // Tell a suspect, dead or left receiver its state first, so that it can refute it.
   const auto found = rows_.find(receiver);
   if (found != rows_.end() && precedence(found->second.record.state) > 0) {
     add_row(found->second);
@@ -436,7 +436,7 @@
     }
     if (found->second.record.state != member_state::suspect) {
       set_state(now, found->second, member_state::suspect);
-      // The suspect is told at once, because its refutation needs the whole suspicion time.
+      // Tell the suspect at once, so that it has the whole suspicion time to refute.
       wire::member_sync_reply news;
       news.facts.members = {found->second.record};
       out.push_back({address_of(found->second.record), wire::transport::datagram, news});
@@ -653,7 +653,7 @@
     const auto before = changes_;
     merge_facts(now, reply->facts, from.sender);
     if (joining) {
-      // The others know this table already; only this node's own record is news.
+      // Other members already know these rows; only this node's own record is new to them.
       for (auto& [name, row] : rows_) {
         if (name != self_.name) {
           leave_queue(row);
--- a/source/membership/membership.h
+++ b/source/membership/membership.h
@@ -68,8 +68,8 @@
   /// sends the change at once to a few members.
   std::vector<wire::outgoing>
   update_self(time_point now, std::vector<wire::service_record> services, wire::member_state state);
-  /// Documents in force ride on the node's own record without a new incarnation of peers' views
-  /// being needed for each probe.
+  /// Sets the versions of the documents in force in the node's own record. Needs no new
+  /// incarnation: within one, peers keep the highest version of each document.
   void set_documents(std::vector<wire::document_version> documents);
   void set_carried_facts(carried_facts facts);
   /// Addresses learned elsewhere, for example from the platform's directory object.
