--- a/source/membership/member_table.cpp
+++ b/source/membership/member_table.cpp
@@ -112,7 +112,7 @@
   ++changes_;
 }
 
-void member_table::leave_queue(member_row& row) {
+void member_table::dequeue_change(member_row& row) {
   row.push_pending = false;
   if (std::exchange(row.queued, false)) {
     std::erase(queue_, &row);
@@ -194,7 +194,7 @@
     set_state(now, row, state);
     if (!alive_state(state)) {
       // Kept only to recognise old gossip; the death has already been propagated.
-      leave_queue(row);
+      dequeue_change(row);
     }
     return;
   }
@@ -270,7 +270,7 @@
           forgotten_[it->first] = {row.record.incarnation, row.record.state, address_of(row.record),
                                    now + options_.remember_forgotten};
         }
-        leave_queue(row);
+        dequeue_change(row);
         ++changes_;
         it = rows_.erase(it);
         continue;
@@ -360,13 +360,15 @@
   }
   std::shuffle(changed.begin(), changed.end(), random_);
   // The smallest record takes about 60 bytes, so no datagram holds more.
-  constexpr std::size_t most_per_datagram = 20;
-  const auto middle =
-      changed.begin() + static_cast<std::ptrdiff_t>(std::min(most_per_datagram, changed.size()));
-  std::partial_sort(changed.begin(), middle, changed.end(), [scope](const auto* a, const auto* b) {
-    return a->transmissions[scope] < b->transmissions[scope];
-  });
-  changed.erase(middle, changed.end());
+  constexpr std::size_t max_records_per_datagram = 20;
+  const auto selected_end =
+      changed.begin() +
+      static_cast<std::ptrdiff_t>(std::min(max_records_per_datagram, changed.size()));
+  std::partial_sort(changed.begin(), selected_end, changed.end(),
+                    [scope](const auto* a, const auto* b) {
+                      return a->transmissions[scope] < b->transmissions[scope];
+                    });
+  changed.erase(selected_end, changed.end());
   for (auto* row : changed) {
     if (row->bytes > room) {
       continue;
@@ -437,9 +439,9 @@
     if (found->second.record.state != member_state::suspect) {
       set_state(now, found->second, member_state::suspect);
       // Tell the suspect at once, so that it has the whole suspicion time to refute.
-      wire::member_sync_reply news;
-      news.facts.members = {found->second.record};
-      out.push_back({address_of(found->second.record), wire::transport::datagram, news});
+      wire::member_sync_reply notice;
+      notice.facts.members = {found->second.record};
+      out.push_back({address_of(found->second.record), wire::transport::datagram, notice});
     }
     it = probes_.erase(it);
   }
@@ -656,7 +658,7 @@
       // Other members already know these rows; only this node's own record is new to them.
       for (auto& [name, row] : rows_) {
         if (name != self_.name) {
-          leave_queue(row);
+          dequeue_change(row);
         }
       }
     }
--- a/source/membership/membership.h
+++ b/source/membership/membership.h
@@ -139,7 +139,7 @@
   bool is_alive(const member_row& row) const;
   endpoint own_address() const;
   void note_change(member_row& row);
-  void leave_queue(member_row& row);
+  void dequeue_change(member_row& row);
   void set_state(time_point now, member_row& row, wire::member_state state);
   /// @return index into `member_row::transmissions` for messages from or to a member.
   std::size_t scope_of(const std::string& name) const;
