--- a/source/claims/claim_writer.cpp
+++ b/source/claims/claim_writer.cpp
@@ -12,35 +12,35 @@
 namespace damaskledge::claims {
 namespace {
 
-constexpr milliseconds first_backoff{20};
-constexpr milliseconds longest_backoff{1'000};
-/// Segments of one shard that are read at once.
-constexpr std::size_t segment_reads = 8;
-/// Attempts to remove a segment that is no longer referred to; one that stays costs only space.
-constexpr int erase_attempts = 5;
-
-/// Decision about a waiting item. `change` is the row to store, if any.
+constexpr milliseconds initial_backoff{20};
+constexpr milliseconds max_backoff{1'000};
+/// Maximum number of segments of one shard that are read concurrently.
+constexpr std::size_t max_concurrent_segment_reads = 8;
+/// Attempts to erase an unreferenced segment; one that is left behind only takes up space.
+constexpr int max_erase_attempts = 5;
+
+/// Decision about a queued request. `change` is the row to store, if any.
 struct outcome {
   wire::claim_decision decision = wire::claim_decision::unavailable;
   id128 holder;
   std::uint16_t status = 0;
-  /// For finishes.
+  /// Used for finishes only.
   bool stored = false;
   std::optional<claim_row> change;
-  /// The decision holds only if the shard is written, even without a change: the write fails
-  /// when another writer has changed the shard.
+  /// The decision is valid only after a successful write of the shard, even without a change:
+  /// the write fails when another writer has changed the shard.
   bool needs_write = false;
   bool creates = false;
 };
 
-struct item {
+struct queued_request {
   enum class kind : std::uint8_t {
     claim,
     finish,
-    /// Takes back a claim whose requester was told `unavailable`.
+    /// Releases a claim whose requester was answered `unavailable`.
     withdraw,
   };
-  kind what = kind::claim;
+  kind type = kind::claim;
   id128 operation;
   std::uint64_t body_hash = 0;
   id128 request;
@@ -49,26 +49,26 @@
   endpoint reply_to;
   time_point received;
   std::uint32_t grant = 0;
-  /// A new row of this item was in a write that may have taken effect.
+  /// A new row of this request was in a write that may have taken effect.
   bool may_be_stored = false;
 };
 
-struct part {
-  item what;
+struct batch_entry {
+  queued_request request;
   outcome result;
 };
 
-/// A head write that was sent and whose answer is awaited or lost.
-struct flight {
+/// A head write that was sent and whose result is pending or unknown.
+struct head_write {
   id128 write_id;
-  std::vector<part> parts;
+  std::vector<batch_entry> entries;
   std::vector<claim_row> rows;
   std::vector<segment_reference> segments;
   std::vector<segment_reference> dropped;
   bool seals = false;
 };
 
-/// A segment with the rows of the head of version `head_version`.
+/// A segment that holds the rows of version `head_version` of the head.
 struct sealed_segment {
   segment_reference reference;
   std::string name;
@@ -81,7 +81,7 @@
 
 struct shard {
   std::uint32_t index = 0;
-  /// Rows are those of `version`; reads may be needed before the next write.
+  /// `head` holds the rows of `version`; another read may be needed before the next write.
   bool loaded = false;
   bool needs_read = true;
   std::uint64_t version = 0;
@@ -92,13 +92,13 @@
   std::unordered_set<id128, id128_hash> segments_read;
   /// Read but not yet merged: a later segment may arrive before an earlier one.
   std::unordered_map<id128, std::vector<claim_row>, id128_hash> segments_arrived;
-  std::deque<item> queue;
-  std::optional<flight> in_flight;
+  std::deque<queued_request> queue;
+  std::optional<head_write> in_flight;
   std::optional<sealed_segment> sealing;
   std::size_t calls = 0;
   time_point retry_at;
-  milliseconds backoff = first_backoff;
-  time_point used;
+  milliseconds backoff = initial_backoff;
+  time_point last_request_at;
 
   const claim_row* find(const id128& operation) const {
     if (const auto it = head.find(operation); it != head.end()) {
@@ -115,10 +115,10 @@
   std::string answer;
 };
 
-enum class purpose : std::uint8_t { read_head, read_segment, write_segment, write_head, erase };
+enum class call_kind : std::uint8_t { read_head, read_segment, write_segment, write_head, erase };
 
 struct pending_call {
-  purpose what = purpose::read_head;
+  call_kind kind = call_kind::read_head;
   std::uint32_t shard = 0;
   id128 segment;
   std::string name;
@@ -139,7 +139,7 @@
   return shard % data_centres;
 }
 
-struct claim_writer::tables {
+struct claim_writer::impl {
   settings options;
   std::mt19937_64 random;
   bool writer = true;
@@ -148,12 +148,12 @@
   std::uint64_t next_tag = 0;
   std::unordered_map<id128, kept_answer, id128_hash> kept;
   std::deque<id128> kept_order;
-  // Of the call that is being handled.
+  // Times and results of the public call that is being handled.
   time_point now;
   unix_milliseconds wall = 0;
   effects out;
 
-  tables(settings value, std::uint64_t seed) : options(value), random(seed) { reset(); }
+  impl(settings value, std::uint64_t seed) : options(value), random(seed) { reset(); }
 
   void reset() {
     shards.clear();
@@ -171,23 +171,23 @@
     out = {};
   }
 
-  id128 draw_id() {
+  id128 random_id() {
     const std::uint64_t high = random();
     return {high, random()};
   }
-  void call(platform::call what, pending_call pending) {
+  void start_call(platform::call what, pending_call pending) {
     ++next_tag;
-    if (pending.what != purpose::erase) {
+    if (pending.kind != call_kind::erase) {
       ++shards[pending.shard].calls;
     }
     calls.emplace(next_tag, std::move(pending));
     out.calls.push_back({next_tag, std::move(what)});
   }
-  static std::string prefix(const shard& where) {
-    return "claims/" + std::to_string(where.index) + "/";
+  static std::string prefix(const shard& target) {
+    return "claims/" + std::to_string(target.index) + "/";
   }
-  static std::string segment_name(const shard& where, const id128& id) {
-    return prefix(where) + to_string(id);
+  static std::string segment_name(const shard& target, const id128& id) {
+    return prefix(target) + to_string(id);
   }
   bool expired(std::uint32_t recorded_at) const {
     return std::int64_t{recorded_at} + options.retention.count() <= std::int64_t{seconds_of(wall)};
@@ -202,19 +202,21 @@
   std::size_t total_waiting() const {
     std::size_t total = 0;
     for (const shard& it : shards) {
-      total += it.queue.size() + (it.in_flight ? it.in_flight->parts.size() : 0);
+      total += it.queue.size() + (it.in_flight ? it.in_flight->entries.size() : 0);
     }
     return total;
   }
-  bool timed_out(const item& what) const { return now - what.received >= options.request_timeout; }
-  void back_off(shard& where, milliseconds at_least = milliseconds{0}) const {
-    where.retry_at = now + std::max(where.backoff, at_least);
-    where.backoff = std::min(longest_backoff, 2 * where.backoff);
+  bool timed_out(const queued_request& what) const {
+    return now - what.received >= options.request_timeout;
+  }
+  void back_off(shard& target, milliseconds at_least = milliseconds{0}) const {
+    target.retry_at = now + std::max(target.backoff, at_least);
+    target.backoff = std::min(max_backoff, 2 * target.backoff);
   }
 
   // Decisions.
 
-  outcome decide_claim(const item& what, const claim_row* current) const {
+  outcome decide_claim(const queued_request& what, const claim_row* current) const {
     if (current == nullptr || current->state == row_state::released) {
       if (total_rows() >= options.max_rows) {
         return {};
@@ -240,8 +242,8 @@
     } else if (current->request == what.request) {
       result.decision = wire::claim_decision::granted;
       if (current->grant != what.grant) {
-        // Written again under a number of its own, drawn by the caller: a writer that is about
-        // to take back the row of an earlier attempt must not take back this grant.
+        // Stored again with a new grant number, drawn by the caller: a writer that is about to
+        // withdraw the row of an earlier attempt must not withdraw this grant.
         result.change = *current;
         result.needs_write = true;
       }
@@ -249,7 +251,7 @@
     return result;
   }
 
-  static outcome decide_finish(const item& what, const claim_row* current) {
+  static outcome decide_finish(const queued_request& what, const claim_row* current) {
     outcome result;
     const bool own = current != nullptr && current->request == what.request;
     if (!own || current->state == row_state::released) {
@@ -268,9 +270,9 @@
     return result;
   }
 
-  /// Writes in any case: once the shard has a newer version, the earlier write can no longer
-  /// take effect.
-  static outcome decide_withdraw(const item& what, const claim_row* current) {
+  /// Always requires a write, even without a change: once the shard has a newer version, the
+  /// earlier write can no longer take effect.
+  static outcome decide_withdraw(const queued_request& what, const claim_row* current) {
     outcome result;
     result.needs_write = true;
     if (current != nullptr && current->request == what.request &&
@@ -281,16 +283,16 @@
     return result;
   }
 
-  outcome decide(const item& what, const claim_row* current) const {
+  outcome decide(const queued_request& what, const claim_row* current) const {
     if (current != nullptr && expired(current->recorded_at)) {
       current = nullptr;
     }
-    switch (what.what) {
-    case item::kind::claim:
+    switch (what.type) {
+    case queued_request::kind::claim:
       return decide_claim(what, current);
-    case item::kind::finish:
+    case queued_request::kind::finish:
       return decide_finish(what, current);
-    case item::kind::withdraw:
+    case queued_request::kind::withdraw:
       return decide_withdraw(what, current);
     }
     return {};
@@ -301,53 +303,53 @@
   void send(const endpoint& to, wire::message body) {
     out.messages.push_back({to, wire::transport::stream, std::move(body)});
   }
-  void reply_unavailable(const item& what,
+  void reply_unavailable(const queued_request& what,
                          wire::claim_decision decision = wire::claim_decision::unavailable) {
-    if (what.what == item::kind::claim) {
+    if (what.type == queued_request::kind::claim) {
       wire::claim_reply body;
       body.sequence = what.sequence;
       body.operation = what.operation;
       body.decision = decision;
       send(what.reply_to, std::move(body));
-    } else if (what.what == item::kind::finish) {
+    } else if (what.type == queued_request::kind::finish) {
       send(what.reply_to, wire::claim_finish_reply{what.sequence, false});
     }
   }
-  /// Puts first in the queue, before any later attempt of the same request.
-  static void withdraw(shard& where, const item& what) {
-    item added;
-    added.what = item::kind::withdraw;
+  /// Queues a withdrawal at the front, before any later attempt of the same request.
+  static void withdraw(shard& target, const queued_request& what) {
+    queued_request added;
+    added.type = queued_request::kind::withdraw;
     added.operation = what.operation;
     added.request = what.request;
     added.grant = what.grant;
     added.received = what.received;
-    where.queue.push_front(std::move(added));
+    target.queue.push_front(std::move(added));
   }
-  void reply(shard& where, const item& what, const outcome& result) {
-    if (what.what == item::kind::finish) {
+  void reply(shard& target, const queued_request& what, const outcome& result) {
+    if (what.type == queued_request::kind::finish) {
       if (result.stored && !what.finish.released) {
         keep_answer(what);
       }
       send(what.reply_to, wire::claim_finish_reply{what.sequence, result.stored});
       return;
     }
-    if (what.what != item::kind::claim) {
+    if (what.type != queued_request::kind::claim) {
       return;
     }
     if (result.decision == wire::claim_decision::granted) {
       if (timed_out(what)) {
         reply_unavailable(what);
         if (what.may_be_stored || result.creates) {
-          withdraw(where, what);
+          withdraw(target, what);
         }
         return;
       }
-      const claim_row* stored = where.find(what.operation);
+      const claim_row* stored = target.find(what.operation);
       if (stored == nullptr || stored->request != what.request ||
           stored->state != row_state::claimed) {
         report_violation("claim-without-record", "operation " + to_string(what.operation) +
                                                      " of request " + to_string(what.request) +
-                                                     " in shard " + std::to_string(where.index));
+                                                     " in shard " + std::to_string(target.index));
         reply_unavailable(what);
         return;
       }
@@ -367,7 +369,7 @@
     }
     send(what.reply_to, std::move(body));
   }
-  void keep_answer(const item& what) {
+  void keep_answer(const queued_request& what) {
     if (!what.finish.answer_kept || what.finish.answer.size() > options.kept_answer_limit ||
         options.kept_answers == 0) {
       return;
@@ -388,192 +390,199 @@
 
   // Reading.
 
-  void expire_waiting(shard& where) {
-    std::vector<item> withdrawn;
-    std::erase_if(where.queue, [&](const item& it) {
-      if (it.what == item::kind::withdraw || !timed_out(it)) {
+  void expire_waiting(shard& target) {
+    std::vector<queued_request> withdrawn;
+    std::erase_if(target.queue, [&](const queued_request& it) {
+      if (it.type == queued_request::kind::withdraw || !timed_out(it)) {
         return false;
       }
       reply_unavailable(it);
-      if (it.may_be_stored && it.what == item::kind::claim) {
+      if (it.may_be_stored && it.type == queued_request::kind::claim) {
         withdrawn.push_back(it);
       }
       return true;
     });
-    for (const item& it : withdrawn) {
-      withdraw(where, it);
+    for (const queued_request& it : withdrawn) {
+      withdraw(target, it);
     }
   }
-  void requeue(shard& where, bool may_be_stored) {
-    if (!where.in_flight) {
+  void requeue(shard& target, bool may_be_stored) {
+    if (!target.in_flight) {
       return;
     }
-    for (auto it = where.in_flight->parts.rbegin(); it != where.in_flight->parts.rend(); ++it) {
-      it->what.may_be_stored = it->what.may_be_stored || (may_be_stored && it->result.creates);
-      where.queue.push_front(std::move(it->what));
+    for (auto it = target.in_flight->entries.rbegin(); it != target.in_flight->entries.rend();
+         ++it) {
+      it->request.may_be_stored =
+          it->request.may_be_stored || (may_be_stored && it->result.creates);
+      target.queue.push_front(std::move(it->request));
     }
-    where.in_flight.reset();
+    target.in_flight.reset();
   }
-  void read_head(shard& where) {
-    call(platform::read{prefix(where) + "head"}, {purpose::read_head, where.index, {}, {}, 0});
+  void read_head(shard& target) {
+    start_call(platform::read{prefix(target) + "head"},
+               {call_kind::read_head, target.index, {}, {}, 0});
   }
-  /// @return true when all segments that may hold rows in force have been read.
-  bool read_segments(shard& where) {
+  /// @return true when all segments that may hold unexpired rows have been read.
+  bool read_segments(shard& target) {
     bool complete = true;
-    for (const segment_reference& it : where.segments) {
-      if (where.segments_read.contains(it.id) || where.segments_arrived.contains(it.id) ||
+    for (const segment_reference& it : target.segments) {
+      if (target.segments_read.contains(it.id) || target.segments_arrived.contains(it.id) ||
           expired(it.newest)) {
         continue;
       }
       complete = false;
-      if (where.calls < segment_reads) {
-        const std::string name = segment_name(where, it.id);
-        call(platform::read{name}, {purpose::read_segment, where.index, it.id, name, 0});
+      if (target.calls < max_concurrent_segment_reads) {
+        const std::string name = segment_name(target, it.id);
+        start_call(platform::read{name}, {call_kind::read_segment, target.index, it.id, name, 0});
       }
     }
     if (!complete) {
       return false;
     }
-    for (const segment_reference& it : where.segments) {
-      const auto arrived = where.segments_arrived.find(it.id);
-      if (arrived == where.segments_arrived.end()) {
+    for (const segment_reference& it : target.segments) {
+      const auto arrived = target.segments_arrived.find(it.id);
+      if (arrived == target.segments_arrived.end()) {
         continue;
       }
       for (const claim_row& row : arrived->second) {
-        where.sealed.insert_or_assign(row.operation, row);
+        target.sealed.insert_or_assign(row.operation, row);
       }
-      where.segments_read.insert(it.id);
+      target.segments_read.insert(it.id);
     }
-    where.segments_arrived.clear();
+    target.segments_arrived.clear();
     return true;
   }
-  bool too_large(const shard& where) const {
+  bool exceeds_row_limit(const shard& target) const {
     std::size_t unread = 0;
-    for (const segment_reference& it : where.segments) {
-      if (!where.segments_read.contains(it.id) && !expired(it.newest)) {
+    for (const segment_reference& it : target.segments) {
+      if (!target.segments_read.contains(it.id) && !expired(it.newest)) {
         unread += it.rows;
       }
     }
     return unread > 0 && total_rows() + unread > options.max_rows;
   }
-  void take_head(shard& where, const platform::object& value) {
+  void apply_head(shard& target, const platform::object& value) {
     std::optional<shard_content> content;
     if (value.version > 0) {
       content = decode(value.content);
     }
-    if (!content || value.version < where.version) {
-      // Not ours to overwrite, or an answer older than what is known.
-      requeue(where, true);
-      back_off(where);
+    if (!content || value.version < target.version) {
+      // The object can't be decoded and must not be overwritten, or it is older than the known
+      // version.
+      requeue(target, true);
+      back_off(target);
       return;
     }
-    if (where.in_flight && content->write_id == where.in_flight->write_id) {
-      commit(where, value.version);
+    if (target.in_flight && content->write_id == target.in_flight->write_id) {
+      commit(target, value.version);
       return;
     }
-    requeue(where, true);
-    discard_sealing(where, value.version, content->segments);
-    where.version = value.version;
-    where.segments = std::move(content->segments);
-    if (where.segments_read.size() > where.segments.size()) {
-      std::erase_if(where.segments_read, [&](const id128& id) {
-        return std::none_of(where.segments.begin(), where.segments.end(),
+    requeue(target, true);
+    discard_sealing(target, value.version, content->segments);
+    target.version = value.version;
+    target.segments = std::move(content->segments);
+    if (target.segments_read.size() > target.segments.size()) {
+      std::erase_if(target.segments_read, [&](const id128& id) {
+        return std::none_of(target.segments.begin(), target.segments.end(),
                             [&](const segment_reference& it) { return it.id == id; });
       });
-      std::erase_if(where.sealed, [&](const auto& it) { return expired(it.second.recorded_at); });
+      std::erase_if(target.sealed, [&](const auto& it) { return expired(it.second.recorded_at); });
     }
-    where.head.clear();
+    target.head.clear();
     for (const claim_row& it : content->rows) {
-      where.head.insert_or_assign(it.operation, it);
+      target.head.insert_or_assign(it.operation, it);
     }
-    where.loaded = true;
-    where.needs_read = false;
-    where.backoff = first_backoff;
+    target.loaded = true;
+    target.needs_read = false;
+    target.backoff = initial_backoff;
   }
-  void discard_sealing(shard& where, std::uint64_t version,
+  void discard_sealing(shard& target, std::uint64_t version,
                        const std::vector<segment_reference>& listed) {
-    if (!where.sealing || where.sealing->head_version == version) {
+    if (!target.sealing || target.sealing->head_version == version) {
       return;
     }
-    // The head has moved on, so that no write that refers to the segment can still succeed.
+    // The head has a newer version, so no pending write that refers to the segment can succeed.
     const bool used = std::any_of(listed.begin(), listed.end(), [&](const segment_reference& it) {
-      return it.id == where.sealing->reference.id;
+      return it.id == target.sealing->reference.id;
     });
-    if (!used && where.sealing->stored) {
-      erase_segment(where, where.sealing->name, 0);
+    if (!used && target.sealing->stored) {
+      erase_segment(target, target.sealing->name, 0);
     }
-    where.sealing.reset();
+    target.sealing.reset();
   }
-  void erase_segment(const shard& where, const std::string& name, int attempts) {
-    // A segment is written once, under a name of its own.
-    call(platform::erase{name, 1}, {purpose::erase, where.index, {}, name, attempts});
+  void erase_segment(const shard& target, const std::string& name, int attempts) {
+    // A segment is written once, under a unique name, so its version is 1.
+    start_call(platform::erase{name, 1}, {call_kind::erase, target.index, {}, name, attempts});
   }
 
   // Writing.
 
-  void commit(shard& where, std::uint64_t version) {
-    flight done = std::move(*where.in_flight);
-    where.in_flight.reset();
+  void commit(shard& target, std::uint64_t version) {
+    head_write done = std::move(*target.in_flight);
+    target.in_flight.reset();
     if (done.seals) {
-      for (const auto& [operation, row] : where.head) {
-        where.sealed.insert_or_assign(operation, row);
+      for (const auto& [operation, row] : target.head) {
+        target.sealed.insert_or_assign(operation, row);
       }
-      where.segments_read.insert(where.sealing->reference.id);
-      where.sealing.reset();
+      target.segments_read.insert(target.sealing->reference.id);
+      target.sealing.reset();
     } else {
-      discard_sealing(where, version, done.segments);
+      discard_sealing(target, version, done.segments);
     }
-    where.version = version;
-    where.segments = std::move(done.segments);
-    where.head.clear();
+    target.version = version;
+    target.segments = std::move(done.segments);
+    target.head.clear();
     for (const claim_row& it : done.rows) {
-      where.head.insert_or_assign(it.operation, it);
+      target.head.insert_or_assign(it.operation, it);
     }
-    where.loaded = true;
-    where.needs_read = false;
-    where.backoff = first_backoff;
-    for (const part& it : done.parts) {
-      reply(where, it.what, it.result);
+    target.loaded = true;
+    target.needs_read = false;
+    target.backoff = initial_backoff;
+    for (const batch_entry& it : done.entries) {
+      reply(target, it.request, it.result);
     }
     for (const segment_reference& it : done.dropped) {
-      where.segments_read.erase(it.id);
-      erase_segment(where, segment_name(where, it.id), 0);
+      target.segments_read.erase(it.id);
+      erase_segment(target, segment_name(target, it.id), 0);
     }
     if (!done.dropped.empty()) {
-      std::erase_if(where.sealed, [&](const auto& it) { return expired(it.second.recorded_at); });
+      std::erase_if(target.sealed, [&](const auto& it) { return expired(it.second.recorded_at); });
     }
   }
 
-  /// True when the row was written by an attempt that is still in the queue: each attempt is
-  /// answered once, and each grant by another attempt has a number of its own.
-  static bool unanswered(const shard& where, const claim_row& row) {
-    return std::any_of(where.queue.begin(), where.queue.end(), [&](const item& it) {
-      return it.what == item::kind::claim && it.may_be_stored && it.request == row.request &&
-             it.operation == row.operation && it.grant == row.grant;
+  /// @return true when the row was written by an attempt that is still in the queue and hence
+  /// unanswered: each attempt is answered once, and other attempts have other grant numbers.
+  static bool has_unanswered_claim(const shard& target, const claim_row& row) {
+    return std::any_of(target.queue.begin(), target.queue.end(), [&](const queued_request& it) {
+      return it.type == queued_request::kind::claim && it.may_be_stored &&
+             it.request == row.request && it.operation == row.operation && it.grant == row.grant;
     });
   }
-  /// Takes items from the queue whose decisions do not change the shard or fit into one write.
-  void gather(shard& where, std::size_t most, std::vector<part>& parts, row_table& changed) {
+  /// Takes requests from the queue: answers those that need no write, and batches the others up
+  /// to `row_limit` changed rows or the first finish or withdrawal of a changed operation.
+  void collect_batch(shard& target, std::size_t row_limit, std::vector<batch_entry>& entries,
+                     row_table& changed) {
     std::unordered_set<id128, id128_hash> created;
-    while (!where.queue.empty() && changed.size() < most) {
-      item& next = where.queue.front();
+    while (!target.queue.empty() && changed.size() < row_limit) {
+      queued_request& next = target.queue.front();
       const auto it = changed.find(next.operation);
-      if (it != changed.end() && next.what != item::kind::claim) {
-        // Decisions on claims are told after the write, when their rows must be stored.
+      if (it != changed.end() && next.type != queued_request::kind::claim) {
+        // Claims are answered after the write and need their rows to be stored then; a finish or
+        // withdrawal in the same write could replace them.
         break;
       }
-      const claim_row* current = it != changed.end() ? &it->second : where.find(next.operation);
+      const claim_row* current = it != changed.end() ? &it->second : target.find(next.operation);
       outcome result = decide(next, current);
       if (!result.needs_write && it == changed.end()) {
-        const item answered = std::move(next);
-        where.queue.pop_front();
-        reply(where, answered, result);
+        const queued_request answered = std::move(next);
+        target.queue.pop_front();
+        reply(target, answered, result);
         continue;
       }
-      if (result.change && next.what == item::kind::claim && !result.creates) {
-        // A withdrawal of this attempt must match only a row that was never granted: one made
-        // in this same write, or one of an attempt that still waits for its answer.
-        result.creates = created.contains(next.operation) || unanswered(where, *current);
+      if (result.change && next.type == queued_request::kind::claim && !result.creates) {
+        // A withdrawal of this attempt must match only a row that was never granted: one created
+        // in this same write, or one of an attempt that is still unanswered.
+        result.creates = created.contains(next.operation) || has_unanswered_claim(target, *current);
         if (!result.creates) {
           next.may_be_stored = false;
           next.grant = static_cast<std::uint32_t>(random());
@@ -586,232 +595,233 @@
       if (result.change) {
         changed.insert_or_assign(next.operation, *result.change);
       }
-      parts.push_back({std::move(next), result});
-      where.queue.pop_front();
+      entries.push_back({std::move(next), result});
+      target.queue.pop_front();
     }
   }
-  std::size_t capacity(std::size_t segments) const {
+  std::size_t head_row_capacity(std::size_t segments) const {
     const std::size_t used =
         head_overhead_characters + (segments + 1) * segment_reference_characters;
     return used >= options.head_limit
                ? 1
                : std::max<std::size_t>(1, (options.head_limit - used) / row_characters);
   }
-  void seal(shard& where) {
-    shard_content content{draw_id(), {}, {}};
+  void seal(shard& target) {
+    shard_content content{random_id(), {}, {}};
     sealed_segment made;
     made.reference.id = content.write_id;
-    for (const auto& [operation, row] : where.head) {
+    for (const auto& [operation, row] : target.head) {
       if (!expired(row.recorded_at)) {
         content.rows.push_back(row);
         made.reference.newest = std::max(made.reference.newest, row.recorded_at);
       }
     }
     made.reference.rows = static_cast<std::uint32_t>(content.rows.size());
-    made.name = segment_name(where, made.reference.id);
+    made.name = segment_name(target, made.reference.id);
     made.content = encode(content);
-    made.head_version = where.version;
-    where.sealing = std::move(made);
-    write_segment(where);
+    made.head_version = target.version;
+    target.sealing = std::move(made);
+    write_segment(target);
   }
-  void write_segment(shard& where) {
-    call(
-        platform::write{where.sealing->name, 0, where.sealing->content},
-        {purpose::write_segment, where.index, where.sealing->reference.id, where.sealing->name, 0});
+  void write_segment(shard& target) {
+    start_call(platform::write{target.sealing->name, 0, target.sealing->content},
+               {call_kind::write_segment, target.index, target.sealing->reference.id,
+                target.sealing->name, 0});
   }
-  void write_head(shard& where) {
-    flight next;
+  void write_head(shard& target) {
+    head_write next;
     row_table changed;
-    const std::size_t room = capacity(where.segments.size());
-    gather(where, room, next.parts, changed);
-    if (next.parts.empty()) {
+    const std::size_t row_capacity = head_row_capacity(target.segments.size());
+    collect_batch(target, row_capacity, next.entries, changed);
+    if (next.entries.empty()) {
       return;
     }
-    for (const segment_reference& it : where.segments) {
+    for (const segment_reference& it : target.segments) {
       (expired(it.newest) ? next.dropped : next.segments).push_back(it);
     }
     std::size_t added = 0;
     std::size_t live = 0;
-    for (const auto& [operation, row] : where.head) {
+    for (const auto& [operation, row] : target.head) {
       live += expired(row.recorded_at) ? 0 : 1;
     }
     for (const auto& [operation, row] : changed) {
-      added += where.head.contains(operation) ? 0 : 1;
-    }
-    next.seals = live > 0 && live + added > room;
-    if (next.seals && !(where.sealing && where.sealing->stored)) {
-      where.in_flight = std::move(next);
-      requeue(where, false);
-      if (where.sealing) {
-        write_segment(where);
+      added += target.head.contains(operation) ? 0 : 1;
+    }
+    next.seals = live > 0 && live + added > row_capacity;
+    if (next.seals && !(target.sealing && target.sealing->stored)) {
+      target.in_flight = std::move(next);
+      requeue(target, false);
+      if (target.sealing) {
+        write_segment(target);
       } else {
-        seal(where);
+        seal(target);
       }
       return;
     }
     if (next.seals) {
-      next.segments.push_back(where.sealing->reference);
+      next.segments.push_back(target.sealing->reference);
     } else {
-      for (const auto& [operation, row] : where.head) {
+      for (const auto& [operation, row] : target.head) {
         if (!expired(row.recorded_at) && !changed.contains(operation)) {
           next.rows.push_back(row);
         }
       }
     }
     for (const auto& [operation, row] : changed) {
-      const bool hidden = where.sealed.contains(operation) || next.seals;
+      const bool hidden = target.sealed.contains(operation) || next.seals;
       if (row.state != row_state::released || hidden) {
         next.rows.push_back(row);
       }
     }
-    next.write_id = draw_id();
+    next.write_id = random_id();
     const shard_content content{next.write_id, next.segments, next.rows};
-    where.in_flight = std::move(next);
-    call(platform::write{prefix(where) + "head", where.version, encode(content)},
-         {purpose::write_head, where.index, {}, {}, 0});
+    target.in_flight = std::move(next);
+    start_call(platform::write{prefix(target) + "head", target.version, encode(content)},
+               {call_kind::write_head, target.index, {}, {}, 0});
   }
 
-  void pump(shard& where) {
-    expire_waiting(where);
-    if (where.calls > 0 || now < where.retry_at) {
+  void advance(shard& target) {
+    expire_waiting(target);
+    if (target.calls > 0 || now < target.retry_at) {
       return;
     }
-    if (where.queue.empty() && !where.in_flight) {
+    if (target.queue.empty() && !target.in_flight) {
       return;
     }
-    if (where.needs_read) {
-      read_head(where);
+    if (target.needs_read) {
+      read_head(target);
       return;
     }
-    if (where.queue.empty()) {
+    if (target.queue.empty()) {
       return;
     }
-    if (too_large(where)) {
-      back_off(where);
+    if (exceeds_row_limit(target)) {
+      back_off(target);
       return;
     }
-    if (!read_segments(where)) {
+    if (!read_segments(target)) {
       return;
     }
-    if (now - where.queue.front().received >= options.batch_interval) {
-      write_head(where);
+    if (now - target.queue.front().received >= options.batch_interval) {
+      write_head(target);
     }
   }
 
   // Answers of the platform.
 
-  void on_head_read(shard& where, const platform::answer& result) {
+  void on_head_read(shard& target, const platform::answer& result) {
     if (const auto* value = std::get_if<platform::found>(&result)) {
-      take_head(where, value->value);
-    } else if (std::holds_alternative<platform::absent>(result) && where.version == 0) {
-      requeue(where, true);
-      where.loaded = true;
-      where.needs_read = false;
+      apply_head(target, value->value);
+    } else if (std::holds_alternative<platform::absent>(result) && target.version == 0) {
+      requeue(target, true);
+      target.loaded = true;
+      target.needs_read = false;
     } else {
-      // The items of an unresolved write wait in the queue, where their time can run out. A head
-      // that was there and is absent now is not written anew: its claims would be lost.
-      requeue(where, true);
+      // The requests of an unresolved write go back to the queue so that they can time out. A head
+      // that existed and is now absent is not created again: its claims would be lost.
+      requeue(target, true);
       const auto* why = std::get_if<platform::unavailable>(&result);
-      back_off(where, why != nullptr ? why->retry_after : milliseconds{0});
+      back_off(target, why != nullptr ? why->retry_after : milliseconds{0});
     }
   }
-  void on_segment_read(shard& where, const id128& id, const platform::answer& result) {
+  void on_segment_read(shard& target, const id128& id, const platform::answer& result) {
     const auto* value = std::get_if<platform::found>(&result);
     std::optional<shard_content> content;
     if (value != nullptr) {
       content = decode(value->value.content);
     }
     if (content) {
-      where.segments_arrived.insert_or_assign(id, std::move(content->rows));
+      target.segments_arrived.insert_or_assign(id, std::move(content->rows));
     } else {
-      // Absent when another writer has dropped it; the head then says so.
-      where.needs_read = true;
-      back_off(where);
+      // The segment is absent when another writer has dropped it; a new read of the head shows it.
+      target.needs_read = true;
+      back_off(target);
     }
   }
-  void on_segment_written(shard& where, const platform::answer& result) {
-    if (!where.sealing) {
+  void on_segment_written(shard& target, const platform::answer& result) {
+    if (!target.sealing) {
       return;
     }
     if (std::holds_alternative<platform::found>(result) ||
         std::holds_alternative<platform::conflict>(result)) {
-      // The name is of this writer's own making, so what is stored there is its content.
-      where.sealing->stored = true;
+      // This writer chose the unique name, so an existing object of that name has its content.
+      target.sealing->stored = true;
     } else {
       const auto* why = std::get_if<platform::unavailable>(&result);
-      back_off(where, why != nullptr ? why->retry_after : milliseconds{0});
+      back_off(target, why != nullptr ? why->retry_after : milliseconds{0});
     }
   }
-  void on_head_written(shard& where, const platform::answer& result) {
-    if (!where.in_flight) {
+  void on_head_written(shard& target, const platform::answer& result) {
+    if (!target.in_flight) {
       return;
     }
     if (const auto* value = std::get_if<platform::found>(&result)) {
-      commit(where, value->value.version);
+      commit(target, value->value.version);
     } else if (const auto* lost = std::get_if<platform::conflict>(&result)) {
-      where.needs_read = true;
+      target.needs_read = true;
       if (lost->current.version > 0) {
-        take_head(where, lost->current);
+        apply_head(target, lost->current);
       }
     } else if (const auto* why = std::get_if<platform::unavailable>(&result)) {
-      requeue(where, false);
-      back_off(where, why->retry_after);
+      requeue(target, false);
+      back_off(target, why->retry_after);
     } else {
-      where.needs_read = true;
+      target.needs_read = true;
     }
   }
   void on_answer(const pending_call& asked, const platform::answer& result) {
-    if (asked.what == purpose::erase) {
+    if (asked.kind == call_kind::erase) {
       const bool failed = std::holds_alternative<platform::unavailable>(result) ||
                           std::holds_alternative<platform::unresolved>(result);
-      if (failed && asked.attempts + 1 < erase_attempts) {
+      if (failed && asked.attempts + 1 < max_erase_attempts) {
         erase_segment(shards[asked.shard], asked.name, asked.attempts + 1);
       }
       return;
     }
-    shard& where = shards[asked.shard];
-    --where.calls;
-    switch (asked.what) {
-    case purpose::read_head:
-      on_head_read(where, result);
+    shard& target = shards[asked.shard];
+    --target.calls;
+    switch (asked.kind) {
+    case call_kind::read_head:
+      on_head_read(target, result);
       break;
-    case purpose::read_segment:
-      on_segment_read(where, asked.segment, result);
+    case call_kind::read_segment:
+      on_segment_read(target, asked.segment, result);
       break;
-    case purpose::write_segment:
-      on_segment_written(where, result);
+    case call_kind::write_segment:
+      on_segment_written(target, result);
       break;
-    case purpose::write_head:
-      on_head_written(where, result);
+    case call_kind::write_head:
+      on_head_written(target, result);
       break;
-    case purpose::erase:
+    case call_kind::erase:
       break;
     }
-    pump(where);
+    advance(target);
   }
 
   // Requests.
 
-  void enqueue(item what) {
-    shard& where = shards[shard_of(what.operation, options.shards)];
-    where.used = now;
+  void enqueue(queued_request what) {
+    shard& target = shards[shard_of(what.operation, options.shards)];
+    target.last_request_at = now;
     if (!writer) {
       reply_unavailable(what, wire::claim_decision::not_writer);
       return;
     }
     const auto same = [&](const id128& it) { return it == what.operation; };
-    const bool waits = std::any_of(where.queue.begin(), where.queue.end(),
-                                   [&](const item& it) { return same(it.operation); }) ||
-                       (where.in_flight &&
-                        std::any_of(where.in_flight->parts.begin(), where.in_flight->parts.end(),
-                                    [&](const part& it) { return same(it.what.operation); }));
-    const claim_row* current = waits ? nullptr : where.find(what.operation);
-    if (what.what == item::kind::claim && current != nullptr) {
-      // Known operations are answered also while the platform is down. A grant is not: it is
-      // given only on what is stored now.
+    const bool waits =
+        std::any_of(target.queue.begin(), target.queue.end(),
+                    [&](const queued_request& it) { return same(it.operation); }) ||
+        (target.in_flight &&
+         std::any_of(target.in_flight->entries.begin(), target.in_flight->entries.end(),
+                     [&](const batch_entry& it) { return same(it.request.operation); }));
+    const claim_row* current = waits ? nullptr : target.find(what.operation);
+    if (what.type == queued_request::kind::claim && current != nullptr) {
+      // Known operations are answered from memory, also while the platform is unavailable. A grant
+      // is not: it requires a successful write to the store.
       const outcome result = decide(what, current);
       if (result.decision != wire::claim_decision::granted) {
-        reply(where, what, result);
+        reply(target, what, result);
         return;
       }
     }
@@ -819,74 +829,74 @@
       reply_unavailable(what);
       return;
     }
-    where.queue.push_back(std::move(what));
-    pump(where);
+    target.queue.push_back(std::move(what));
+    advance(target);
   }
 };
 
 claim_writer::claim_writer(settings options, std::uint64_t seed)
-    : tables_(std::make_unique<tables>(options, seed)) {}
+    : impl_(std::make_unique<impl>(options, seed)) {}
 claim_writer::~claim_writer() = default;
 claim_writer::claim_writer(claim_writer&& other) noexcept = default;
 claim_writer& claim_writer::operator=(claim_writer&& other) noexcept = default;
 
 void claim_writer::reset() {
-  tables_->reset();
+  impl_->reset();
 }
 
 void claim_writer::set_writer(bool value) {
-  tables_->writer = value;
+  impl_->writer = value;
 }
 
 claim_writer::effects claim_writer::receive(time_point now, unix_milliseconds wall,
                                             const wire::incoming& from) {
-  tables_->begin(now, wall);
-  item what;
+  impl_->begin(now, wall);
+  queued_request what;
   what.received = now;
   what.reply_to = from.from;
   if (const auto* request = std::get_if<wire::claim_request>(&from.body)) {
-    what.what = item::kind::claim;
+    what.type = queued_request::kind::claim;
     what.operation = request->operation;
     what.body_hash = request->body_hash;
     what.request = request->request;
     what.sequence = request->sequence;
-    what.grant = static_cast<std::uint32_t>(tables_->random());
-    tables_->enqueue(std::move(what));
+    what.grant = static_cast<std::uint32_t>(impl_->random());
+    impl_->enqueue(std::move(what));
   } else if (const auto* finish = std::get_if<wire::claim_finish>(&from.body)) {
-    what.what = item::kind::finish;
+    what.type = queued_request::kind::finish;
     what.operation = finish->operation;
     what.request = finish->request;
     what.sequence = finish->sequence;
     what.finish = *finish;
-    tables_->enqueue(std::move(what));
+    impl_->enqueue(std::move(what));
   }
-  return std::move(tables_->out);
+  return std::move(impl_->out);
 }
 
 claim_writer::effects claim_writer::tick(time_point now, unix_milliseconds wall) {
-  tables_->begin(now, wall);
-  for (shard& it : tables_->shards) {
-    tables_->pump(it);
+  impl_->begin(now, wall);
+  for (shard& it : impl_->shards) {
+    impl_->advance(it);
     if (it.loaded && it.queue.empty() && !it.in_flight && it.calls == 0 &&
-        now - it.used >= tables_->options.shard_idle) {
+        now - it.last_request_at >= impl_->options.shard_idle) {
       const std::uint32_t index = it.index;
       it = shard{};
       it.index = index;
     }
   }
-  return std::move(tables_->out);
+  return std::move(impl_->out);
 }
 
 claim_writer::effects claim_writer::on_answer(time_point now, unix_milliseconds wall,
                                               std::uint64_t tag, const platform::answer& result) {
-  tables_->begin(now, wall);
-  const auto it = tables_->calls.find(tag);
-  if (it != tables_->calls.end()) {
+  impl_->begin(now, wall);
+  const auto it = impl_->calls.find(tag);
+  if (it != impl_->calls.end()) {
     const pending_call asked = std::move(it->second);
-    tables_->calls.erase(it);
-    tables_->on_answer(asked, result);
+    impl_->calls.erase(it);
+    impl_->on_answer(asked, result);
   }
-  return std::move(tables_->out);
+  return std::move(impl_->out);
 }
 
 } // namespace damaskledge::claims
--- a/source/claims/shard_codec.cpp
+++ b/source/claims/shard_codec.cpp
@@ -11,14 +11,14 @@
 namespace iterators = boost::archive::iterators;
 
 template <class Integer>
-void put(std::string& out, Integer value) {
+void append_little_endian(std::string& out, Integer value) {
   for (std::size_t it = 0; it < sizeof(Integer); ++it) {
     out += static_cast<char>(value >> (8 * it) & 0xFFU);
   }
 }
 
 template <class Integer>
-Integer get(std::string_view& in) {
+Integer read_little_endian(std::string_view& in) {
   std::uint64_t value = 0;
   for (std::size_t it = 0; it < sizeof(Integer); ++it) {
     value |= std::uint64_t{static_cast<unsigned char>(in[it])} << (8 * it);
@@ -27,7 +27,7 @@
   return static_cast<Integer>(value);
 }
 
-// Rows are a multiple of three bytes, so that neither direction meets padding.
+// Rows are a multiple of three bytes, so that neither direction needs base64 padding.
 std::string to_base64(const std::string& bytes) {
   using iterator = iterators::base64_from_binary<iterators::transform_width<const char*, 6, 8>>;
   return {iterator(bytes.data()), iterator(bytes.data() + bytes.size())};
@@ -45,24 +45,24 @@
   }
 }
 
-std::string pack(const std::vector<claim_row>& rows) {
+std::string encode_rows(const std::vector<claim_row>& rows) {
   std::string bytes;
   bytes.reserve(rows.size() * row_bytes);
   for (const claim_row& it : rows) {
-    put(bytes, it.operation.high);
-    put(bytes, it.operation.low);
-    put(bytes, it.body_hash);
-    put(bytes, it.request.high);
-    put(bytes, it.request.low);
-    put(bytes, it.recorded_at);
-    put(bytes, it.grant);
-    put(bytes, it.status);
-    put(bytes, static_cast<std::uint8_t>(it.state));
+    append_little_endian(bytes, it.operation.high);
+    append_little_endian(bytes, it.operation.low);
+    append_little_endian(bytes, it.body_hash);
+    append_little_endian(bytes, it.request.high);
+    append_little_endian(bytes, it.request.low);
+    append_little_endian(bytes, it.recorded_at);
+    append_little_endian(bytes, it.grant);
+    append_little_endian(bytes, it.status);
+    append_little_endian(bytes, static_cast<std::uint8_t>(it.state));
   }
   return to_base64(bytes);
 }
 
-std::optional<std::vector<claim_row>> unpack(const std::string& text) {
+std::optional<std::vector<claim_row>> decode_rows(const std::string& text) {
   const std::optional<std::string> bytes = from_base64(text);
   if (!bytes || bytes->size() % row_bytes != 0) {
     return std::nullopt;
@@ -72,15 +72,15 @@
   std::string_view in = *bytes;
   while (!in.empty()) {
     claim_row it;
-    it.operation.high = get<std::uint64_t>(in);
-    it.operation.low = get<std::uint64_t>(in);
-    it.body_hash = get<std::uint64_t>(in);
-    it.request.high = get<std::uint64_t>(in);
-    it.request.low = get<std::uint64_t>(in);
-    it.recorded_at = get<std::uint32_t>(in);
-    it.grant = get<std::uint32_t>(in);
-    it.status = get<std::uint16_t>(in);
-    const auto state = get<std::uint8_t>(in);
+    it.operation.high = read_little_endian<std::uint64_t>(in);
+    it.operation.low = read_little_endian<std::uint64_t>(in);
+    it.body_hash = read_little_endian<std::uint64_t>(in);
+    it.request.high = read_little_endian<std::uint64_t>(in);
+    it.request.low = read_little_endian<std::uint64_t>(in);
+    it.recorded_at = read_little_endian<std::uint32_t>(in);
+    it.grant = read_little_endian<std::uint32_t>(in);
+    it.status = read_little_endian<std::uint16_t>(in);
+    const auto state = read_little_endian<std::uint8_t>(in);
     if (state > static_cast<std::uint8_t>(row_state::released)) {
       return std::nullopt;
     }
@@ -99,7 +99,7 @@
   }
   const nlohmann::json out = {{"write_id", to_string(value.write_id)},
                               {"segments", std::move(segments)},
-                              {"rows", pack(value.rows)}};
+                              {"rows", encode_rows(value.rows)}};
   return out.dump();
 }
 
@@ -111,7 +111,7 @@
     return std::nullopt;
   }
   const std::optional<id128> write_id = parse_id128(in["write_id"].get<std::string>());
-  std::optional<std::vector<claim_row>> rows = unpack(in["rows"].get<std::string>());
+  std::optional<std::vector<claim_row>> rows = decode_rows(in["rows"].get<std::string>());
   if (!write_id || !rows) {
     return std::nullopt;
   }
--- a/source/claims/shard_codec.h
+++ b/source/claims/shard_codec.h
@@ -14,10 +14,10 @@
 namespace damaskledge::claims {
 
 enum class row_state : std::uint8_t {
-  /// Held by a request whose end is not known.
+  /// Held by a request that has not reported its outcome.
   claimed,
   finished,
-  /// Hides a row of an older segment whose operation is free again.
+  /// Tombstone: overrides a row of an older segment; the operation can be claimed again.
   released,
 };
 
@@ -28,8 +28,8 @@
   id128 request;
   /// Time of the claim, in seconds since the Unix epoch.
   std::uint32_t recorded_at = 0;
-  /// Drawn for each decision to grant, so that a writer that takes back a claim which it did
-  /// not grant leaves a later grant by another writer alone.
+  /// Random number drawn for each decision to grant. A writer that withdraws a claim which it
+  /// did not grant compares it, so as not to release a later grant by another writer.
   std::uint32_t grant = 0;
   std::uint16_t status = 0;
   row_state state = row_state::claimed;
@@ -59,7 +59,8 @@
 /// Content of `claims/<shard>/head`, and of a segment (without references).
 struct shard_content {
   id128 write_id;
-  /// Oldest first; rows of later ones replace rows of earlier ones, rows of the head all.
+  /// Oldest first. For the same operation, a row of a later segment overrides one of an earlier
+  /// segment, and a row of the head overrides them all.
   std::vector<segment_reference> segments;
   std::vector<claim_row> rows;
 
