--- a/tests/admission/crash_table_test.cpp
+++ b/tests/admission/crash_table_test.cpp
@@ -16,17 +16,17 @@
   return {n, ~n};
 }
 
-/// Several deaths of targets with many innocent requests in flight.
+/// Simulates crashes of targets that have many harmless requests in flight.
 struct crash_run {
   crash_table table{{}};
   std::mt19937_64 random;
   std::uint64_t last = 1;
-  std::vector<id128> innocents;
+  std::vector<id128> harmless_requests;
 
-  /// The culprit arrives among requests that arrived evenly over `latency`; the target dies
-  /// `age` after its arrival, and all attempts break in arbitrary order within 2 ms.
-  void death(time_point at, const std::string& target, const std::vector<id128>& repeated,
-             std::size_t count, milliseconds age, bool culprit = true) {
+  /// Crashes `target` at `at`. The harmless requests arrive evenly over the 50 ms before, the
+  /// crashing request, if any, `age` before. All attempts break in random order within 2 ms.
+  void crash_target(time_point at, const std::string& target, const std::vector<id128>& repeated,
+                    std::size_t count, milliseconds age, bool with_crashing_request = true) {
     constexpr milliseconds latency{50};
     std::vector<std::pair<time_point, id128>> arrivals;
     std::vector<id128> others = repeated;
@@ -36,9 +36,9 @@
     for (const id128& it : others) {
       const auto since = std::chrono::microseconds(random() % 50'000);
       arrivals.emplace_back(at - since, it);
-      innocents.push_back(it);
+      harmless_requests.push_back(it);
     }
-    if (culprit) {
+    if (with_crashing_request) {
       arrivals.emplace_back(at - age, fingerprint(0));
     }
     std::sort(arrivals.begin(), arrivals.end(),
@@ -54,9 +54,9 @@
     }
   }
 
-  std::size_t innocents_refused(time_point now) const {
+  std::size_t count_harmless_refused(time_point now) const {
     return static_cast<std::size_t>(
-        std::count_if(innocents.begin(), innocents.end(),
+        std::count_if(harmless_requests.begin(), harmless_requests.end(),
                       [&](const id128& it) { return table.convicted(now, it); }));
   }
 };
@@ -65,88 +65,93 @@
 
 TEST_CASE("a request that crashed two targets is refused before the third, the others are not") {
   // Guards against a request that its caller sends again until every upstream is dead, and
-  // against refusing the hundreds that were in flight beside it, some of them repeated.
+  // against refusing the hundreds of requests in flight with it, some of which were repeated.
   std::size_t missed = 0;
-  std::size_t wrong = 0;
+  std::size_t falsely_refused = 0;
   constexpr int runs = 200;
   for (int run = 0; run < runs; ++run) {
     crash_run it;
     it.random.seed(static_cast<std::uint64_t>(run));
-    it.death(start, "t1", {}, 300, milliseconds{5});
+    it.crash_target(start, "t1", {}, 300, milliseconds{5});
     CHECK_FALSE(it.table.convicted(start, fingerprint(0)));
-    // Innocents that were repeated and answered, and are in flight again at the second death.
-    const std::vector<id128> repeated(it.innocents.begin(), it.innocents.begin() + 40);
+    // Harmless requests that were repeated and answered, and are in flight again at the second
+    // crash.
+    const std::vector<id128> repeated(it.harmless_requests.begin(),
+                                      it.harmless_requests.begin() + 40);
     for (const id128& one : repeated) {
       it.table.started(start + milliseconds{100}, one, "t3");
       it.table.answered(start + milliseconds{120}, one, "t3");
     }
-    it.death(start + seconds{1}, "t2", repeated, 300, milliseconds{6});
+    it.crash_target(start + seconds{1}, "t2", repeated, 300, milliseconds{6});
     const time_point now = start + seconds{1} + milliseconds{10};
     missed += it.table.convicted(now, fingerprint(0)) ? 0 : 1;
-    wrong += it.innocents_refused(now);
+    falsely_refused += it.count_harmless_refused(now);
   }
-  CHECK(wrong == 0);
+  CHECK(falsely_refused == 0);
   CHECK(missed == 0);
 }
 
-TEST_CASE("innocents repeated without an answer may delay the verdict but are not refused") {
-  // Guards against refusing innocents when the evidence does not tell them apart yet: these were
-  // in flight at the same deaths as the culprit, and only their ages differ.
+TEST_CASE("harmless requests repeated without an answer may delay detection but are not refused") {
+  // Guards against refusing harmless requests that can't be told from the crashing one yet: they
+  // were in flight at the same crashes, and only their ages differ.
   for (const std::size_t count : {std::size_t{1}, std::size_t{5}, std::size_t{40}}) {
     std::size_t after_two = 0;
     std::size_t after_three = 0;
-    std::size_t wrong = 0;
+    std::size_t falsely_refused = 0;
     constexpr std::size_t runs = 200;
     for (std::size_t run = 0; run < runs; ++run) {
       crash_run it;
       it.random.seed(run);
-      it.death(start, "t1", {}, 300, milliseconds{5});
-      const std::vector<id128> repeated(it.innocents.begin(),
-                                        it.innocents.begin() + static_cast<std::ptrdiff_t>(count));
-      it.death(start + seconds{1}, "t2", repeated, 300, milliseconds{6});
+      it.crash_target(start, "t1", {}, 300, milliseconds{5});
+      const std::vector<id128> repeated(it.harmless_requests.begin(),
+                                        it.harmless_requests.begin() +
+                                            static_cast<std::ptrdiff_t>(count));
+      it.crash_target(start + seconds{1}, "t2", repeated, 300, milliseconds{6});
       after_two += it.table.convicted(start + seconds{2}, fingerprint(0)) ? 1 : 0;
-      it.death(start + seconds{3}, "t3", repeated, 300, milliseconds{5});
+      it.crash_target(start + seconds{3}, "t3", repeated, 300, milliseconds{5});
       after_three += it.table.convicted(start + seconds{4}, fingerprint(0)) ? 1 : 0;
-      wrong += it.innocents_refused(start + seconds{4});
+      falsely_refused += it.count_harmless_refused(start + seconds{4});
     }
-    MESSAGE(count, " repeats: culprit refused after two deaths in ", after_two,
-            " and after three in ", after_three, " of ", runs, " runs, innocents refused ", wrong);
-    CHECK(wrong == 0);
+    MESSAGE(count, " repeats: crashing request refused after two crashes in ", after_two,
+            " and after three in ", after_three, " of ", runs, " runs, harmless requests refused ",
+            falsely_refused);
+    CHECK(falsely_refused == 0);
     CHECK(after_three >= (count <= 5 ? runs * 9 / 10 : runs / 2));
     CHECK((count > 5 || after_two >= runs / 2));
   }
 }
 
 TEST_CASE("a request alone on two targets that died is refused") {
-  // Guards against depending on competitors.
+  // Guards against detection that works only when other requests are in flight to compare with.
   crash_run it;
-  it.death(start, "t1", {}, 0, milliseconds{5});
+  it.crash_target(start, "t1", {}, 0, milliseconds{5});
   CHECK_FALSE(it.table.convicted(start, fingerprint(0)));
-  it.death(start + seconds{1}, "t1", {}, 0, milliseconds{5});
+  it.crash_target(start + seconds{1}, "t1", {}, 0, milliseconds{5});
   CHECK_FALSE(it.table.convicted(start + seconds{1}, fingerprint(0)));
-  it.death(start + seconds{2}, "t2", {}, 0, milliseconds{25});
+  it.crash_target(start + seconds{2}, "t2", {}, 0, milliseconds{25});
   CHECK(it.table.convicted(start + seconds{2} + milliseconds{10}, fingerprint(0)));
   CHECK(it.table.convictions(start + seconds{3}) == std::vector{fingerprint(0)});
   CHECK_FALSE(it.table.convicted(start + seconds{700}, fingerprint(0)));
 }
 
-TEST_CASE("deaths without a culprit convict nobody") {
+TEST_CASE("crashes that no request caused lead to no refusal") {
   // Guards against refusing requests because two upstreams were killed by operators.
-  std::size_t wrong = 0;
+  std::size_t falsely_refused = 0;
   for (int run = 0; run < 200; ++run) {
     crash_run it;
     it.random.seed(static_cast<std::uint64_t>(run));
-    it.death(start, "t1", {}, 300, milliseconds{0}, false);
-    const std::vector<id128> repeated(it.innocents.begin(), it.innocents.begin() + 20);
-    it.death(start + seconds{1}, "t2", repeated, 300, milliseconds{0}, false);
-    wrong += it.innocents_refused(start + seconds{2});
+    it.crash_target(start, "t1", {}, 300, milliseconds{0}, false);
+    const std::vector<id128> repeated(it.harmless_requests.begin(),
+                                      it.harmless_requests.begin() + 20);
+    it.crash_target(start + seconds{1}, "t2", repeated, 300, milliseconds{0}, false);
+    falsely_refused += it.count_harmless_refused(start + seconds{2});
   }
-  MESSAGE("deaths without a culprit: innocents refused ", wrong);
-  CHECK(wrong == 0);
+  MESSAGE("crashes that no request caused: harmless requests refused ", falsely_refused);
+  CHECK(falsely_refused == 0);
 }
 
-TEST_CASE("resets of targets that live, lapsed suspicions and answers convict nobody") {
-  // Guards against verdicts from evidence that is void.
+TEST_CASE("resets by live targets, expired suspicions and answered requests cause no refusal") {
+  // Guards against refusing requests on evidence that no longer holds or never did.
   crash_table table({});
   for (const std::string target : {"t1", "t2", "t3"}) {
     table.started(start, fingerprint(1), target);
@@ -168,7 +173,7 @@
   CHECK_FALSE(table.convicted(start + seconds{63}, fingerprint(3)));
 }
 
-TEST_CASE("a conviction of another node counts but is not told on") {
+TEST_CASE("a conviction reported by another node is applied but not forwarded") {
   // Guards against two nodes that renew each other's convictions for ever.
   crash_table table({});
   table.heard(start, fingerprint(1));
@@ -178,22 +183,22 @@
   CHECK(table.convictions(start).empty());
 }
 
-TEST_CASE("nodes that exchange reports refuse the culprit everywhere and no innocent") {
+TEST_CASE("nodes that exchange reports refuse the crashing request and no harmless one") {
   // Guards against a caller that sends the request again to another node each time, and against a
   // node that blames the only request that it had in flight at a target.
   std::size_t caught = 0;
-  std::size_t wrong = 0;
+  std::size_t falsely_refused = 0;
   constexpr std::size_t runs = 200;
   constexpr std::size_t node_count = 12;
   for (std::size_t run = 0; run < runs; ++run) {
     std::mt19937_64 random(run);
     std::vector<crash_table> nodes(node_count, crash_table({}));
-    std::vector<id128> innocents;
+    std::vector<id128> harmless_requests;
     std::vector<std::vector<id128>> in_flight_before(node_count);
     time_point now = start;
     for (const std::string target : {"t1", "t2"}) {
-      // One to four innocents in flight from each node; on every second node, the first of them
-      // was in flight at the death before, too.
+      // One to four harmless requests in flight from each node; on every second node, the first of
+      // them was also in flight at the previous crash.
       std::vector<std::vector<id128>> in_flight(node_count);
       for (std::size_t node = 0; node < node_count; ++node) {
         const std::size_t count = 1 + random() % 4;
@@ -203,12 +208,12 @@
           const auto age = std::chrono::microseconds(10'000 + random() % 40'000);
           nodes[node].started(now - age, value, target);
           in_flight[node].push_back(value);
-          innocents.push_back(value);
+          harmless_requests.push_back(value);
         }
       }
-      const std::size_t culprit_node = random() % node_count;
-      nodes[culprit_node].started(now - milliseconds{5}, fingerprint(0), target);
-      in_flight[culprit_node].push_back(fingerprint(0));
+      const std::size_t crashing_request_node = random() % node_count;
+      nodes[crashing_request_node].started(now - milliseconds{5}, fingerprint(0), target);
+      in_flight[crashing_request_node].push_back(fingerprint(0));
       for (std::size_t node = 0; node < node_count; ++node) {
         for (const id128& it : in_flight[node]) {
           nodes[node].broken(now, it, target, true);
@@ -228,19 +233,20 @@
     }
     for (const crash_table& it : nodes) {
       caught += it.convicted(now, fingerprint(0)) ? 1 : 0;
-      for (const id128& innocent : innocents) {
-        wrong += it.convicted(now, innocent) ? 1 : 0;
+      for (const id128& harmless : harmless_requests) {
+        falsely_refused += it.convicted(now, harmless) ? 1 : 0;
       }
     }
   }
-  MESSAGE("12 nodes, 6 unanswered repeats: culprit refused on ", caught, " of ", runs * node_count,
-          " nodes after two deaths, innocents refused ", wrong);
-  CHECK(wrong == 0);
+  MESSAGE("12 nodes, 6 unanswered repeats: crashing request refused on ", caught, " of ",
+          runs * node_count, " nodes after two crashes, harmless requests refused ",
+          falsely_refused);
+  CHECK(falsely_refused == 0);
   CHECK(caught >= runs * node_count / 2);
 }
 
 TEST_CASE("an answer at one node clears the suspicion on the others") {
-  // Guards against innocents that stay suspects where they are not sent again.
+  // Guards against harmless requests that stay suspected on nodes where they aren't sent again.
   crash_table first({});
   crash_table second({});
   first.started(start, fingerprint(1), "t1");
