--- a/tests/admission/rule_book_test.cpp
+++ b/tests/admission/rule_book_test.cpp
@@ -25,7 +25,7 @@
   return result;
 }
 
-rule_book example() {
+rule_book example_rule_book() {
   config::lists lists;
   lists.accounts = {{"rossi", "basic"}};
   lists.plans = {{"basic", 10, 20, {"browse", "deep"}}};
@@ -38,7 +38,7 @@
   return {lists, keys};
 }
 
-refusal_reason reason_of(const rule_book& book, std::string_view presented) {
+refusal_reason refusal_reason_of(const rule_book& book, std::string_view presented) {
   const auto result = book.authenticate(presented);
   REQUIRE(std::holds_alternative<refusal>(result));
   const auto& value = std::get<refusal>(result);
@@ -51,25 +51,25 @@
 
 TEST_CASE("a key is accepted for its account only with the right secret") {
   // Guards against running a request for another account (P3).
-  const rule_book book = example();
+  const rule_book book = example_rule_book();
   const auto result = book.authenticate(key);
   REQUIRE(std::holds_alternative<rule_book::identity>(result));
   CHECK(std::get<rule_book::identity>(result).account == "rossi");
   CHECK(std::get<rule_book::identity>(result).key_id == "0123456789ab");
   const std::string good(secret);
-  CHECK(reason_of(book, "") == refusal_reason::key_missing);
-  CHECK(reason_of(book, "dlk_0123456789ab_" + good + "x") == refusal_reason::key_unknown);
-  CHECK(reason_of(book, "dlk_0123456789ac_" + good) == refusal_reason::key_unknown);
-  CHECK(reason_of(book, "dlk_0123456789AB_" + good) == refusal_reason::key_unknown);
-  CHECK(reason_of(book, "dlk_0123456789ab_") == refusal_reason::key_unknown);
-  CHECK(reason_of(book, "dlk_0123456789ab_" + std::string(10'000, 'a')) ==
+  CHECK(refusal_reason_of(book, "") == refusal_reason::key_missing);
+  CHECK(refusal_reason_of(book, "dlk_0123456789ab_" + good + "x") == refusal_reason::key_unknown);
+  CHECK(refusal_reason_of(book, "dlk_0123456789ac_" + good) == refusal_reason::key_unknown);
+  CHECK(refusal_reason_of(book, "dlk_0123456789AB_" + good) == refusal_reason::key_unknown);
+  CHECK(refusal_reason_of(book, "dlk_0123456789ab_") == refusal_reason::key_unknown);
+  CHECK(refusal_reason_of(book, "dlk_0123456789ab_" + std::string(10'000, 'a')) ==
         refusal_reason::key_unknown);
-  CHECK(reason_of(book, good) == refusal_reason::key_unknown);
-  CHECK(reason_of(book, "dlk_00000000dead_" + good) == refusal_reason::key_withdrawn);
-  CHECK(reason_of(book, "dlk_00000000dead_wrong") == refusal_reason::key_unknown);
-  CHECK(reason_of(book, "dlk_00000000feed_" + good) == refusal_reason::account_unknown);
-  CHECK(reason_of(book, "dlk_00000000beef_" + good) == refusal_reason::key_unknown);
-  CHECK(reason_of(book, "dlk_00000000beef_") == refusal_reason::key_unknown);
+  CHECK(refusal_reason_of(book, good) == refusal_reason::key_unknown);
+  CHECK(refusal_reason_of(book, "dlk_00000000dead_" + good) == refusal_reason::key_withdrawn);
+  CHECK(refusal_reason_of(book, "dlk_00000000dead_wrong") == refusal_reason::key_unknown);
+  CHECK(refusal_reason_of(book, "dlk_00000000feed_" + good) == refusal_reason::account_unknown);
+  CHECK(refusal_reason_of(book, "dlk_00000000beef_" + good) == refusal_reason::key_unknown);
+  CHECK(refusal_reason_of(book, "dlk_00000000beef_") == refusal_reason::key_unknown);
   CHECK(book.key_in_force("0123456789ab", "rossi"));
   CHECK_FALSE(book.key_in_force("0123456789ab", "other"));
   CHECK_FALSE(book.key_in_force("00000000dead", "rossi"));
@@ -77,9 +77,9 @@
 }
 
 TEST_CASE("routes match by the longest prefix at a segment boundary") {
-  // Guards against a plan's route that opens a longer name, and against an escaped letter that
-  // selects a wider route than the upstream serves.
-  const rule_book book = example();
+  // Guards against a route that also matches longer names with the same prefix, and against a
+  // percent-encoded letter that selects a wider route than the one the upstream serves.
+  const rule_book book = example_rule_book();
   const auto name = [&](std::string_view path) -> std::string {
     const auto* found = book.find_route("melody", "GET", path);
     return found == nullptr ? "" : found->name;
@@ -165,10 +165,10 @@
 }
 
 TEST_CASE("cost of authenticate") {
-  // Guards against a request path that takes more than a few microseconds, and against a time
-  // that tells which key identifiers exist. The bounds are loose because other work may share
-  // the machine.
-  const rule_book book = example();
+  // Guards against authentication that takes more than a few microseconds, and against timing that
+  // reveals which key identifiers exist. The bounds are loose because other work may share the
+  // machine.
+  const rule_book book = example_rule_book();
   const auto cost = [&](std::string_view presented) {
     constexpr int calls = 20'000;
     const auto begin = clock_type::now();
